--- a/dunlinsaddle/access/questions.py
+++ b/dunlinsaddle/access/questions.py
@@ -8,7 +8,7 @@
 
 from dunlinsaddle.loops import OnLoop
 from dunlinsaddle.membership.messages import QuotaAnswer, QuotaAsk, QuotaMessage, Standing
-from dunlinsaddle.policy.quota import Later, Lent, Verdict
+from dunlinsaddle.policy.quota import Granted, QuotaDecision, RetryLater
 
 #: Seconds after which a question is sent once more: datagrams get lost, and an answer takes some
 #: milliseconds.
@@ -45,7 +45,7 @@
 
     async def ask(
         self, lender: str, organisation: str, patience: float, *, relayed: bool = False
-    ) -> Verdict | None:
+    ) -> QuotaDecision | None:
         """Ask a lender; None when it is silent for ``patience`` seconds, or does not lend this."""
         self._numbers += 1
         number = self._numbers
@@ -110,22 +110,22 @@
         return self.now() - self._asked_at.get(instance, -math.inf)
 
 
-def answer_of(ask: QuotaAsk, verdict: Verdict | None, head: dict[str, Any]) -> QuotaAnswer:
+def answer_of(ask: QuotaAsk, verdict: QuotaDecision | None, head: dict[str, Any]) -> QuotaAnswer:
     """Give the answer to a question; without a verdict that this node does not lend the quota."""
     match verdict:
-        case Lent():
+        case Granted():
             return QuotaAnswer(**head, number=ask.number, standing=Standing.LENT)
-        case Later(seconds):
+        case RetryLater(seconds):
             return QuotaAnswer(**head, number=ask.number, standing=Standing.LATER, wait=seconds)
     return QuotaAnswer(**head, number=ask.number, standing=Standing.NOT_MINE)
 
 
-def _verdict_of(answer: QuotaAnswer | None) -> Verdict | None:
+def _verdict_of(answer: QuotaAnswer | None) -> QuotaDecision | None:
     match answer:
         case QuotaAnswer(standing=Standing.LENT):
-            return Lent()
+            return Granted()
         case QuotaAnswer(standing=Standing.LATER, wait=wait):
-            return Later(wait)
+            return RetryLater(wait)
     return None
 
 
--- a/dunlinsaddle/access/quotas.py
+++ b/dunlinsaddle/access/quotas.py
@@ -17,7 +17,7 @@
     QuotaMessage,
     QuotaReturn,
 )
-from dunlinsaddle.policy.quota import Later, Ledger, Lent, Ring, Verdict
+from dunlinsaddle.policy.quota import Granted, HashRing, QuotaDecision, QuotaLedger, RetryLater
 from dunlinsaddle.routes.models import Organisation
 
 ANSWER_SECONDS = 0.16  #: after which a lender counts as silent, and the next one is asked
@@ -62,14 +62,14 @@
         self,
         instance: str,
         peers: Peers,
-        ledger: Ledger,
+        ledger: QuotaLedger,
         find: Callable[[str], Organisation | None],
     ) -> None:
         self.instance = instance
         self.peers = peers
         self.ledger = ledger
         self.find = find
-        self.ring = Ring()
+        self.ring = HashRing()
         self.questions = Questions(peers)
         self._answered: OrderedDict[tuple[str, int], QuotaAnswer | None] = OrderedDict()
         self._refresh: asyncio.TimerHandle | None = None
@@ -85,12 +85,12 @@
         self._refresh = None
         now = self.now()
         self._started_at = min(self._started_at, now)
-        names, self.ledger.share = self.peers.present()
+        names, self.ledger.reachable_share = self.peers.present()
         if not self.ring.update(names):
             return
         self._changed_at = now
         own = self.ledger.organisations()
-        self.ledger.begin(now, [org for org in own if self._is_first(org)])
+        self.ledger.reset(now, [org for org in own if self._is_first(org)])
 
     async def take(self, organisation: Organisation | None) -> Result[Loan, Failure]:
         """Take one request's part; Err says when there is room."""
@@ -117,16 +117,16 @@
                 patience = min(patience, max(until - self.now(), 0.0))
                 verdict = await self.questions.ask(lender, name, patience)
             match verdict:
-                case Lent():
+                case Granted():
                     return Ok(Loan(name, lender))
-                case Later(seconds):
+                case RetryLater(seconds):
                     return Err(Failure(ErrorKind.OVER_QUOTA, f'told by {lender}', seconds))
         return None
 
     def give_back(self, loan: Loan) -> None:
         """Give back what was taken for a request that did not run."""
         if loan.lender == self.instance:
-            self.ledger.give_back(loan.organisation)
+            self.ledger.refund(loan.organisation)
         elif loan.lender:
             self.peers.send(
                 loan.lender, QuotaReturn(**self.peers.head(), organisation=loan.organisation)
@@ -139,7 +139,7 @@
             case QuotaAnswer():
                 self.questions.answered(message)
             case QuotaReturn(organisation=organisation):
-                self.ledger.give_back(organisation)
+                self.ledger.refund(organisation)
             case QuotaAsk():
                 self._hear_ask(message)
 
@@ -162,12 +162,12 @@
     async def _answer_later(self, ask: QuotaAsk) -> None:
         self._answer(ask, await self._decide(ask.organisation))
 
-    def _answer(self, ask: QuotaAsk, verdict: Verdict | None) -> None:
+    def _answer(self, ask: QuotaAsk, verdict: QuotaDecision | None) -> None:
         answer = answer_of(ask, verdict, self.peers.head())
         self._answered[ask.sender, ask.number] = answer
         self.peers.send(ask.sender, answer)
 
-    async def _decide(self, organisation: str) -> Verdict | None:
+    async def _decide(self, organisation: str) -> QuotaDecision | None:
         """Decide as the first lender, or as one who stands in for those before; None if neither."""
         for lender in self.ring.lenders(organisation):
             if lender == self.instance:
@@ -183,7 +183,7 @@
             self.questions.probe(lender)
         return self._lend(organisation)
 
-    def _lend(self, organisation: str) -> Verdict | None:
+    def _lend(self, organisation: str) -> QuotaDecision | None:
         """Lend of this node's own bucket, if it is one of the lenders."""
         order = self.ring.lenders(organisation)
         known = self.find(organisation)
@@ -191,10 +191,10 @@
         if known is None or self.instance not in order or (young and self._alone()):
             return None
         if known.quota is None:
-            return Lent()
+            return Granted()
         # A young one lends a part only: others that are young may take themselves for the lender.
         first = order[0] == self.instance and not young
-        return self.ledger.take(self.now(), organisation, known.quota, first=first)
+        return self.ledger.take(self.now(), organisation, known.quota, is_first_lender=first)
 
     def _is_first(self, organisation: str) -> bool:
         return self.ring.lenders(organisation)[:1] == [self.instance]
@@ -214,4 +214,4 @@
 
         Failure: all nodes restart at once, and each thinks for a moment that it is alone.
         """
-        return self.ledger.share < MET_SHARE or len(self.ring.names) < MET_LEAST
+        return self.ledger.reachable_share < MET_SHARE or len(self.ring.nodes) < MET_LEAST
--- a/dunlinsaddle/calls/deaths.py
+++ b/dunlinsaddle/calls/deaths.py
@@ -43,7 +43,7 @@
 
     def hear(self, frame: Deaths) -> None:
         """Take the word of another node."""
-        self.quarantine.hear(self.now(), frame.fingerprint, frame.deaths)
+        self.quarantine.merge_deaths(self.now(), frame.fingerprint, frame.deaths)
 
     def close(self) -> None:
         """End what is still being told."""
--- a/dunlinsaddle/calls/dispatch.py
+++ b/dunlinsaddle/calls/dispatch.py
@@ -14,8 +14,8 @@
 from dunlinsaddle.loops import OnLoop
 from dunlinsaddle.membership.view import Member, MemberView
 from dunlinsaddle.policy.context import CallContext
-from dunlinsaddle.policy.quarantine import DEATHS_MOST, Quarantine
-from dunlinsaddle.policy.retry import LOST_ON_THE_WAY, REFUSED_BY_NODE, Allowance, may_resend
+from dunlinsaddle.policy.quarantine import DEATHS_TO_QUARANTINE, Quarantine
+from dunlinsaddle.policy.retry import LOST_ANSWER_KINDS, REFUSED_BY_NODE, RetryAllowance, may_resend
 from dunlinsaddle.policy.route import Candidate, Router
 from dunlinsaddle.stats import Stats
 
@@ -31,7 +31,7 @@
 #: How a call ends that no target was given.
 NOT_GIVEN = frozenset(kind.value for kind in REFUSED_BY_NODE)
 #: How a call ends that a target was given and has not answered; told by the node beside it.
-LOST_KINDS = frozenset(kind.value for kind in LOST_ON_THE_WAY)
+LOST_KINDS = frozenset(kind.value for kind in LOST_ANSWER_KINDS)
 
 
 class _Choices(NamedTuple):
@@ -220,17 +220,17 @@
 
     async def _try(self, work: Work, member: Member) -> Reply:
         loop = self.loop
-        handed = work.allowance.hand_down()
+        handed = work.allowance.delegate()
         if self.decisions is not None:
             known = len(self.view.serving(work.ctx.service))
-            load = self.router.load_of(member.instance)
+            load = self.router.latest_load(member.instance)
             self.decisions.sent(work.ctx, member.instance, load, known)
         began = loop.time()
-        self.router.sent(member.instance)
+        self.router.record_sent(member.instance)
         try:
             exchange = await self._hand_over(work, member, handed)
         except asyncio.CancelledError:
-            self.router.answered(self.now(), member.instance, None)
+            self.router.record_answer(self.now(), member.instance, None)
             self._timed(work.ctx, member, began, whole=False)
             raise
         reply = self._judge(work, member, handed, exchange)
@@ -241,7 +241,7 @@
 
     def _timed(self, ctx: CallContext, member: Member, began: float, *, whole: bool) -> float:
         now = self.now()
-        self.router.took(now, member.instance, ctx.rule, now - began, whole=whole)
+        self.router.record_duration(now, member.instance, ctx.rule, now - began, whole=whole)
         return round(now - began, 4)
 
     def _judge(
@@ -253,19 +253,19 @@
             case Reply():
                 self._heard(now, member, exchange)
                 self._learn(now, work, exchange)
-                work.allowance.give_back(handed, exchange.unspent)
+                work.allowance.reclaim(handed, exchange.unspent)
                 return exchange
             case NotSent(detail):
-                self.router.failed(now, member.instance)
-                work.allowance.give_back(handed, handed)
+                self.router.record_failure(now, member.instance)
+                work.allowance.reclaim(handed, handed)
                 return refusal(Failure(ErrorKind.NO_TARGET, detail, NO_TARGET_COME_BACK))
             case Lost(detail, kind):
-                self.router.failed(now, member.instance)
+                self.router.record_failure(now, member.instance)
                 return refusal(Failure(kind, detail))
 
     async def _hand_over(self, work: Work, member: Member, handed: int) -> Reply | NotSent | Lost:
         if member.instance == self.instance:
-            return await self.executor.execute(work._replace(allowance=Allowance(handed)))
+            return await self.executor.execute(work._replace(allowance=RetryAllowance(handed)))
         loop = self.loop
         now = loop.time()
         call = call_of(work, now, handed, self._told.get(member.instance))
@@ -277,25 +277,25 @@
     def _heard(self, now: float, member: Member, reply: Reply) -> None:
         self._learn_told(now, member, reply)
         if reply.kind in LOST_KINDS:
-            self.router.failed(now, member.instance)
+            self.router.record_failure(now, member.instance)
             return
         failed = not reply.kind and reply.status >= FIRST_ERROR_STATUS
         # One that turns calls away has the fewest in flight, and would draw ever more of them.
         turned_away = reply.kind == ErrorKind.TARGET_REFUSED.value
         error = turned_away or (failed and reply.retry_after <= 0)
-        self.router.answered(now, member.instance, reply.load, error=error)
+        self.router.record_answer(now, member.instance, reply.load, error=error)
         if reply.kind in (ErrorKind.DRAINING.value, ErrorKind.NO_TARGET.value):
-            self.router.avoid(now, member.instance)
+            self.router.avoid_leaving(now, member.instance)
 
     def _learn_told(self, now: float, member: Member, reply: Reply) -> None:
         told = reply.told
         if told is not None:
             self._told[member.instance] = told
-            self.router.named_rate(now, member.instance, told.rate, told.use)
+            self.router.record_rate(now, member.instance, told.rate, told.use)
         elif not reply.kind:
             # The target has answered, and says nothing of itself any more.
             self._told.pop(member.instance, None)
-            self.router.named_rate(now, member.instance, None)
+            self.router.record_rate(now, member.instance, None)
 
     def _learn(self, now: float, work: Work, reply: Reply) -> None:
         if reply.load is not None and self._speaks_for_service(work.ctx.service, reply):
@@ -320,7 +320,7 @@
         if not reply.deaths:
             return work
         now = self.now()
-        deaths = self.quarantine.hear(now, work.ctx.fingerprint, reply.deaths)
+        deaths = self.quarantine.merge_deaths(now, work.ctx.fingerprint, reply.deaths)
         return work._replace(ctx=work.ctx._replace(deaths=deaths))
 
     def _nobody(self, ctx: CallContext) -> Reply:
@@ -330,7 +330,7 @@
         return refusal(Failure(ErrorKind.NO_TARGET, detail, NO_TARGET_COME_BACK))
 
     def _may_resend(self, work: Work, reply: Reply) -> bool:
-        if work.ctx.deaths >= DEATHS_MOST:
+        if work.ctx.deaths >= DEATHS_TO_QUARANTINE:
             return False
         if work.ctx.deadline - self.now() < LEAST_RESEND_SECONDS:
             return False
--- a/dunlinsaddle/calls/execute.py
+++ b/dunlinsaddle/calls/execute.py
@@ -26,7 +26,7 @@
 )
 from dunlinsaddle.policy.context import CallContext
 from dunlinsaddle.policy.level import TICK, ChainLevels
-from dunlinsaddle.policy.quarantine import Alone, Barred, Quarantine
+from dunlinsaddle.policy.quarantine import Quarantine, Quarantined, Suspected
 from dunlinsaddle.stats import Hop, Stats
 
 TICK_SECONDS = TICK + 0.0001  #: just enough for the tick to be due
@@ -85,13 +85,13 @@
             return self._refused(failure, work)
         ctx = work.ctx
         now = self.now()
-        self.quarantine.hear(now, ctx.fingerprint, ctx.deaths)
-        match self.quarantine.standing(now, ctx.fingerprint):
-            case Barred(failure) if self.observes(ctx.service):
+        self.quarantine.merge_deaths(now, ctx.fingerprint, ctx.deaths)
+        match self.quarantine.check(now, ctx.fingerprint):
+            case Quarantined(failure) if self.observes(ctx.service):
                 self.stats.observed_refusals[failure.kind.value] += 1
-            case Barred(failure):
+            case Quarantined(failure):
                 return self._refused(failure, work)
-            case Alone() if not self.observes(ctx.service):
+            case Suspected() if not self.observes(ctx.service):
                 return await self._run_alone(work)
         return await self._admit_and_run(work)
 
@@ -226,7 +226,7 @@
             reply = await self._call_target(work, running)
             completed = reply.kind == ''
             if completed and work.ctx.deaths:
-                self.quarantine.completed(loop.time(), work.ctx.fingerprint)
+                self.quarantine.record_completion(loop.time(), work.ctx.fingerprint)
         except asyncio.CancelledError:
             self.stats.wasted += 1
             raise
@@ -297,7 +297,7 @@
                 reply = refusal(Failure(kind, detail))
                 if kind is ErrorKind.TARGET_LOST and not await self._target_lives():
                     now = self.now()
-                    reply.deaths = self.quarantine.died(now, work.ctx.fingerprint)
+                    reply.deaths = self.quarantine.record_death(now, work.ctx.fingerprint)
                     self.on_death(work.ctx.fingerprint, reply.deaths)
                 return reply
 
--- a/dunlinsaddle/calls/faces.py
+++ b/dunlinsaddle/calls/faces.py
@@ -21,10 +21,10 @@
 from dunlinsaddle.calls.target import LocalTarget
 from dunlinsaddle.calls.work import Running, RunningCalls, Waits, Work, count_added
 from dunlinsaddle.errors import ErrorKind, Failure, Outcome
-from dunlinsaddle.policy.callers import ResendGuard
 from dunlinsaddle.policy.classify import classify
 from dunlinsaddle.policy.context import MAX_HOPS, CallContext, inherited, priority_of
-from dunlinsaddle.policy.retry import Allowance
+from dunlinsaddle.policy.resend_guard import ResendGuard
+from dunlinsaddle.policy.retry import RetryAllowance
 from dunlinsaddle.records.book import RecordBook
 from dunlinsaddle.records.models import Mode, RequestRule, ServiceRecord
 from dunlinsaddle.settings import read_address
@@ -146,10 +146,10 @@
             return
         if reply.retry_after <= 0:
             if not reply.kind:
-                self.guard.answered(ctx.caller, name)
+                self.guard.record_answer(ctx.caller, name)
         else:
             now = asyncio.get_running_loop().time()
-            self.guard.refused(now, ctx.caller, name, reply.retry_after)
+            self.guard.record_refusal(now, ctx.caller, name, reply.retry_after)
 
     def _work(self, req: HttpRequest, record: ServiceRecord, rule: RequestRule, rest: str) -> Work:
         now = asyncio.get_running_loop().time()
@@ -168,7 +168,7 @@
             fingerprint=fingerprint(req, record.service),
         )
         headers = forwarded_headers(req.headers)
-        allowance = Allowance(record.retry_bound)
+        allowance = RetryAllowance(record.retry_bound)
         return Work(ctx, req.method, rest, headers, req.body, allowance, Waits())
 
     def _response(self, reply: Reply, work: Work) -> HttpResponse:
@@ -265,7 +265,7 @@
         headers = forwarded_headers(req.headers)
         root = parent.work.ctx if parent else None
         request_id = root.request_id if root else str(uuid6.uuid7())
-        allowance = parent.work.allowance if parent else Allowance(0)
+        allowance = parent.work.allowance if parent else RetryAllowance(0)
         deadline = now + read_timeout(req.header(b'request-timeout'), record.deadline)
         ctx = CallContext(
             request_id=request_id,
--- a/dunlinsaddle/calls/handover.py
+++ b/dunlinsaddle/calls/handover.py
@@ -15,8 +15,8 @@
 from dunlinsaddle.membership.view import Member, MemberView
 from dunlinsaddle.once.keeper import RangeKeeper
 from dunlinsaddle.pieces import cut_pieces
-from dunlinsaddle.policy.keys import BornKey, parse_key
-from dunlinsaddle.policy.once_table import Ended, KeyTable
+from dunlinsaddle.policy.key_table import KeyRecord, KeyTable
+from dunlinsaddle.policy.keys import TimestampedKey, parse_key
 from dunlinsaddle.policy.ownership import Owner
 
 PIECE_BYTES = 1 << 18  #: of one message: a quarter of a second on a link of ten megabits
@@ -38,14 +38,19 @@
     if owner == keeper.me:
         return False
     held, member = keeper.map_of(service), view.find(owner.instance)
-    superseded = held is not None and held.superseded(owner)
+    superseded = held is not None and held.is_superseded(owner)
     return (
         superseded or owner.instance == keeper.me.instance or (member is not None and member.gone)
     )
 
 
 def heir_of(
-    keeper: RangeKeeper, view: MemberView, service: str, key: BornKey, *, leaving: bool = False
+    keeper: RangeKeeper,
+    view: MemberView,
+    service: str,
+    key: TimestampedKey,
+    *,
+    leaving: bool = False,
 ) -> Owner | None:
     """Give who was told of a key when its owner left: the next owner that has not ended.
 
@@ -64,10 +69,10 @@
     tables: Tables, keeper: RangeKeeper, view: MemberView, links: PeerLinks
 ) -> Handed:
     """Give all tables away, piece by piece; only after this node has stopped accepting keys."""
-    plans: dict[tuple[str, str], list[Ended[Reply]]] = {}
+    plans: dict[tuple[str, str], list[KeyRecord[Reply]]] = {}
     left = 0
     for service, table in tables.items():
-        for known in table.ended():
+        for known in table.export_records():
             heir = _heir_of_text(keeper, view, service, known.key)
             if heir is None:
                 left += 1
@@ -85,10 +90,12 @@
     table = tables.setdefault(push.service, KeyTable())
     for given in push.keys:
         match parse_key(given.key):
-            case Ok(BornKey(text, birth)):
+            case Ok(TimestampedKey(text, birth)):
                 size = given.reply.size if given.reply else 0
                 done = given.done
-                table.learn(Ended(text, birth, given.fingerprint, done, given.reply, size))
+                table.import_record(
+                    KeyRecord(text, birth, given.fingerprint, done, given.reply, size)
+                )
 
 
 def log_handed(logger: logging.Logger, handed: Handed) -> None:
@@ -98,13 +105,13 @@
 
 def _heir_of_text(keeper: RangeKeeper, view: MemberView, service: str, text: str) -> Owner | None:
     match parse_key(text):
-        case Ok(BornKey() as key):
+        case Ok(TimestampedKey() as key):
             return heir_of(keeper, view, service, key, leaving=True)
     return None
 
 
 async def _give(
-    links: PeerLinks, member: Member | None, service: str, known: list[Ended[Reply]]
+    links: PeerLinks, member: Member | None, service: str, known: list[KeyRecord[Reply]]
 ) -> int:
     taken = 0
     for piece in cut_pieces(known, lambda entry: KEY_BYTES + entry.size, PIECE_BYTES):
--- a/dunlinsaddle/calls/member_calls.py
+++ b/dunlinsaddle/calls/member_calls.py
@@ -27,23 +27,23 @@
     ) -> Reply | NotSent | Lost:
         """Hand it over; ``asked`` and ``owned`` say what the member is taken for."""
         loop = asyncio.get_running_loop()
-        handed = work.allowance.hand_down()
+        handed = work.allowance.delegate()
         call = call_of(work, loop.time(), handed)
         call.asked, call.owned = asked, owned
-        self.router.sent(member.instance)
+        self.router.record_sent(member.instance)
         try:
             reply = await self.links.call(member.peers, call)
         except asyncio.CancelledError:
-            self.router.answered(loop.time(), member.instance, None)
+            self.router.record_answer(loop.time(), member.instance, None)
             raise
         match reply:
             case Reply():
-                self.router.answered(loop.time(), member.instance, reply.load)
-                work.allowance.give_back(handed, reply.unspent)
+                self.router.record_answer(loop.time(), member.instance, reply.load)
+                work.allowance.reclaim(handed, reply.unspent)
                 reply.unspent = work.allowance.tokens
             case NotSent():
-                self.router.failed(loop.time(), member.instance)
-                work.allowance.give_back(handed, handed)
+                self.router.record_failure(loop.time(), member.instance)
+                work.allowance.reclaim(handed, handed)
             case Lost():
-                self.router.failed(loop.time(), member.instance)
+                self.router.record_failure(loop.time(), member.instance)
         return reply
--- a/dunlinsaddle/calls/once.py
+++ b/dunlinsaddle/calls/once.py
@@ -18,8 +18,16 @@
 from dunlinsaddle.membership.view import Member, MemberView
 from dunlinsaddle.once.keeper import RangeKeeper
 from dunlinsaddle.once.opaque import claim_key
-from dunlinsaddle.policy.keys import RANGES, BornKey, Key, OpaqueKey, mint_key, parse_key, range_of
-from dunlinsaddle.policy.once_table import KeyTable
+from dunlinsaddle.policy.key_table import KeyTable
+from dunlinsaddle.policy.keys import (
+    RANGE_COUNT,
+    Key,
+    OpaqueKey,
+    TimestampedKey,
+    generate_key,
+    parse_key,
+    range_number,
+)
 from dunlinsaddle.policy.ownership import Interval, Owner, RangeMap
 from dunlinsaddle.policy.route import Router
 from dunlinsaddle.stats import Stats
@@ -93,7 +101,7 @@
         reply.unspent = work.allowance.tokens
         return reply
 
-    async def mint(self, service: str) -> BornKey:
+    async def mint(self, service: str) -> TimestampedKey:
         """Make a key that a node which can be reached owns now, for a caller to send."""
         if self.keeper.map_of(service) is None:
             await self.keeper.refresh(service)
@@ -137,11 +145,11 @@
                 return reply
             tried.add(interval.owner.instance)
 
-    def _mint(self, service: str, tried: set[str]) -> BornKey:
+    def _mint(self, service: str, tried: set[str]) -> TimestampedKey:
         now = self.keeper.clock()
         held = self.keeper.map_of(service) or RangeMap()
         ranges: dict[str, list[int]] = {}
-        for number in range(RANGES):
+        for number in range(RANGE_COUNT):
             interval = held.find(number, now)
             if interval is not None:
                 ranges.setdefault(interval.owner.instance, []).append(number)
@@ -149,7 +157,7 @@
         candidates = candidates_of(members)
         now_loop = asyncio.get_running_loop().time()
         chosen = self.router.choose(now_loop, candidates, frozenset(tried))
-        return mint_key(now, self.rng, service, ranges[chosen.instance] if chosen else ())
+        return generate_key(now, self.rng, service, ranges[chosen.instance] if chosen else ())
 
     async def _route(self, work: Work, key: Key, way: Way) -> Reply:
         known = self.owned.look(work, key.text)
@@ -158,7 +166,7 @@
         match key:
             case OpaqueKey():
                 return await self._route_opaque(work, key, way)
-            case BornKey():
+            case TimestampedKey():
                 return await self._route_born(work, key, way)
 
     async def _route_opaque(self, work: Work, key: OpaqueKey, way: Way) -> Reply:
@@ -171,7 +179,7 @@
             return await self.owned.own(work, key, claim.birth)
         return await self._ask(work, claim.owner, way)
 
-    async def _route_born(self, work: Work, key: BornKey, way: Way) -> Reply:
+    async def _route_born(self, work: Work, key: TimestampedKey, way: Way) -> Reply:
         service = work.ctx.service
         interval = self.keeper.find(service, key)
         if not way.reread and self._doubtful(service, interval, way):
@@ -204,22 +212,22 @@
     def _ended(self, service: str, owner: Owner) -> bool:
         return has_ended(self.keeper, self.view, service, owner)
 
-    def _witness(self, service: str, key: BornKey, owner: Owner, way: Way) -> Owner:
+    def _witness(self, service: str, key: TimestampedKey, owner: Owner, way: Way) -> Owner:
         """Give who can answer for a key: its owner, or who that one told of it when it left."""
         if way.fresh or not self._ended(service, owner):
             return owner
         heir = heir_of(self.keeper, self.view, service, key)
         return owner if heir is None or heir == self.me else heir
 
-    async def _own_born(self, work: Work, key: BornKey) -> Reply:
+    async def _own_born(self, work: Work, key: TimestampedKey) -> Reply:
         if self.keeper.accept(work.ctx.service, key):
             return await self.owned.own(work, key, key.birth)
         # The range is on its way to another node, and the write that says so is not settled.
         return self.owned.refuse(ErrorKind.OWNER_UNREACHABLE, 'the key is being handed over')
 
-    async def _route_unowned(self, work: Work, key: BornKey, way: Way) -> Reply:
+    async def _route_unowned(self, work: Work, key: TimestampedKey, way: Way) -> Reply:
         held = self.keeper.map_of(work.ctx.service)
-        if held is not None and held.forgot(range_of(work.ctx.service, key), key.birth):
+        if held is not None and held.is_pruned(range_number(work.ctx.service, key), key.birth):
             return self.owned.refuse(ErrorKind.KEY_EXPIRED, 'older than all that is remembered')
         if way.reread and key.birth > self.keeper.clock() + self.keeper.horizon:
             return self.owned.refuse(ErrorKind.KEY_IN_FUTURE, 'no node owns keys of that time yet')
--- a/dunlinsaddle/calls/owned.py
+++ b/dunlinsaddle/calls/owned.py
@@ -11,10 +11,10 @@
 from dunlinsaddle.calls.work import Work
 from dunlinsaddle.errors import ErrorKind, Failure, Outcome
 from dunlinsaddle.membership.view import MemberView
+from dunlinsaddle.policy.key_table import KeyRefused, KeyTable, StoredAnswer
 from dunlinsaddle.policy.keys import Key
-from dunlinsaddle.policy.once_table import Denied, KeyTable, Known
 from dunlinsaddle.policy.ownership import Owner
-from dunlinsaddle.policy.retry import Allowance
+from dunlinsaddle.policy.retry import RetryAllowance
 from dunlinsaddle.stats import Stats
 
 COME_BACK = 1.0  #: seconds; within one, a reading of the map of owners is done
@@ -54,7 +54,7 @@
 
     def look(self, work: Work, key: str) -> Reply | None:
         """Give the answer to a key that is known here, if it is."""
-        known = self.table(work.ctx.service).look(key, work.ctx.fingerprint)
+        known = self.table(work.ctx.service).lookup(key, work.ctx.fingerprint)
         return None if known is None else self._recall(known)
 
     async def own(self, work: Work, key: Key, birth: int) -> Reply:
@@ -67,7 +67,7 @@
         now = self.clock()
         table.raise_floor(now - int(self.window(service) * 1000))
         begun = table.begin(key.text, birth, work.ctx.fingerprint, now)
-        if isinstance(begun, Denied):
+        if isinstance(begun, KeyRefused):
             return self._recall(begun)
         self.stats.keys[ACCEPTED] += 1
         # A caller that goes away must not turn its run into one of unknown end: it will come
@@ -83,18 +83,18 @@
             reply = await self._run_somewhere(work)
         finally:
             if reply is None or reply.outcome is Outcome.UNKNOWN:
-                table.unknown(key)
+                table.mark_unknown(key)
             elif reply.outcome is Outcome.NOT_RUN:
-                table.not_run(key)
+                table.forget(key)
             else:
-                table.done(key, reply, reply.size)
+                table.complete(key, reply, reply.size)
         return reply
 
     async def _run_somewhere(self, work: Work) -> Reply:
         """Run a call beside this node, or hand it on as long as it provably did not run."""
-        handed = work.allowance.hand_down()
-        reply = await self.executor.execute(work._replace(allowance=Allowance(handed)))
-        work.allowance.give_back(handed, reply.unspent)
+        handed = work.allowance.delegate()
+        reply = await self.executor.execute(work._replace(allowance=RetryAllowance(handed)))
+        work.allowance.reclaim(handed, reply.unspent)
         tried = {self.me.instance}
         while _goes_on(reply) and len(tried) <= MAX_HANDED_ON:
             now = asyncio.get_running_loop().time()
@@ -119,12 +119,12 @@
         """Give what is remembered of a service's keys."""
         return self.tables.setdefault(service, KeyTable())
 
-    def _recall(self, known: Known[Reply] | Denied) -> Reply:
+    def _recall(self, known: StoredAnswer[Reply] | KeyRefused) -> Reply:
         match known:
-            case Known(answer):
+            case StoredAnswer(answer):
                 self.stats.keys[REPEATED] += 1
                 return _copy(answer)
-            case Denied(kind):
+            case KeyRefused(kind):
                 return self.refuse(kind)
 
     def refuse(self, kind: ErrorKind, detail: str = '') -> Reply:
--- a/dunlinsaddle/calls/work.py
+++ b/dunlinsaddle/calls/work.py
@@ -10,7 +10,7 @@
 from dunlinsaddle.calls.messages import MAX_BUDGET, Call, Headers, Reply, Told
 from dunlinsaddle.errors import Outcome
 from dunlinsaddle.policy.context import CallContext, Priority
-from dunlinsaddle.policy.retry import Allowance
+from dunlinsaddle.policy.retry import RetryAllowance
 from dunlinsaddle.records.models import Rank
 from dunlinsaddle.stats import Stats
 
@@ -45,7 +45,7 @@
     path: str
     headers: Headers
     body: bytes
-    allowance: Allowance
+    allowance: RetryAllowance
     waits: Waits | None = None  #: None where nobody asks
     attempts: list[Attempt] | None = None  #: sends so far; None where nobody asks
 
@@ -98,7 +98,7 @@
         repeated=call.repeated,
         organisation=call.organisation,
     )
-    allowance = Allowance(call.allowance)
+    allowance = RetryAllowance(call.allowance)
     return Work(ctx, call.method, call.path, call.headers, call.body, allowance, Waits())
 
 
--- a/dunlinsaddle/mesh/entry.py
+++ b/dunlinsaddle/mesh/entry.py
@@ -95,9 +95,9 @@
                 keyed = table.wants_keys
                 work = self._work(req, terms, route, parent, holder, keyed=keyed)
         if work.ctx.repeated:
-            self.budget.repeated(began, work.ctx.service)
+            self.budget.record_repeat(began, work.ctx.service)
         else:
-            self.budget.sent(began, work.ctx.service)
+            self.budget.record_request(began, work.ctx.service)
         self.decisions.routed(work, version)
         try:
             reply = await self._answer(work, parent, holder)
--- a/dunlinsaddle/mesh/metrics.py
+++ b/dunlinsaddle/mesh/metrics.py
@@ -23,7 +23,7 @@
 from dunlinsaddle.metrics import Metrics, Values, cumulative, observe_stats
 from dunlinsaddle.platform.client import HttpObjectStore
 from dunlinsaddle.platform.store import ObjectStore, place_of
-from dunlinsaddle.policy.quota import Ledger
+from dunlinsaddle.policy.quota import QuotaLedger
 from dunlinsaddle.policy.retry_budget import RetryBudget
 from dunlinsaddle.policy.slots import SlotAdmission
 from dunlinsaddle.routes.follow import ConfigFollower
@@ -47,7 +47,7 @@
     announce: AnnounceFace
     store: ObjectStore
     freshness: Freshness
-    ledger: Ledger
+    ledger: QuotaLedger
     news: TargetNews
     quotas: Quotas
 
@@ -97,7 +97,9 @@
             'dunlinsaddle.retry_budget_left',
             '{call}',
             'Repeats that this node may still send in the present window, by service.',
-            lambda: [(left, {'service': name}) for name, left in node.budget.left(_now()).items()],
+            lambda: [
+                (left, {'service': name}) for name, left in node.budget.remaining(_now()).items()
+            ],
         )
 
     def _observe_beliefs(self) -> None:
@@ -172,7 +174,7 @@
             'dunlinsaddle.quota_left',
             '{request}',
             'Requests that may still be lent here, of the organisations nearest to their limit.',
-            lambda: _nearest(node.ledger.tokens()),
+            lambda: _nearest(node.ledger.tokens_left()),
         )
         add.counter(
             'dunlinsaddle.quota_questions',
--- a/dunlinsaddle/mesh/node.py
+++ b/dunlinsaddle/mesh/node.py
@@ -44,7 +44,7 @@
 from dunlinsaddle.platform.client import HttpObjectStore
 from dunlinsaddle.platform.store import ObjectStore
 from dunlinsaddle.policy.quarantine import Quarantine
-from dunlinsaddle.policy.quota import Ledger
+from dunlinsaddle.policy.quota import QuotaLedger
 from dunlinsaddle.policy.retry_budget import RetryBudget
 from dunlinsaddle.policy.route import Router
 from dunlinsaddle.policy.slots import SlotAdmission
@@ -150,7 +150,7 @@
         self.watchers = Watchers(self.view, cfg.domain)
         self.follower.watches = self._watches
         self.agent.gossip.on_news = self.follower.hear
-        self.ledger = Ledger(
+        self.ledger = QuotaLedger(
             cfg.bounds.quota_slack, cfg.bounds.quota_window, cfg.bounds.quota_overage
         )
         peers = GossipPeers(self.agent, self.view, lambda: self.bootstrap.strangers)
@@ -336,7 +336,7 @@
 
     def _member_changed(self, before: Member | None, member: Member) -> None:
         # The dead count as well while they are held: too many nodes is the safe side.
-        self.budget.nodes = self.router.entries = max(len(self.view), 1)
+        self.budget.node_count = self.router.sender_count = max(len(self.view), 1)
         if before is not None and before.state is member.state:
             return
         self.quotas.members_change()
@@ -346,7 +346,7 @@
     def take_bounds(self, bounds: Bounds) -> None:
         """Take what the settings say now of the deployment's promises."""
         self.settings = self.settings._replace(bounds=bounds)
-        self.budget.take(bounds.retry_ratio, bounds.retry_extra)
+        self.budget.set_limits(bounds.retry_ratio, bounds.retry_extra)
         self.freshness.most = bounds.revoke
         self.ledger.slack = bounds.quota_slack
         self.ledger.window = bounds.quota_window
--- a/dunlinsaddle/mesh/resends.py
+++ b/dunlinsaddle/mesh/resends.py
@@ -4,7 +4,7 @@
 from dunlinsaddle.calls.work import Work
 from dunlinsaddle.errors import ErrorKind, Outcome
 from dunlinsaddle.loops import OnLoop
-from dunlinsaddle.policy.retry import LOST_ON_THE_WAY, REFUSED_BY_NODE, Allowance
+from dunlinsaddle.policy.retry import LOST_ANSWER_KINDS, REFUSED_BY_NODE, RetryAllowance
 from dunlinsaddle.policy.retry_budget import RetryBudget
 
 FAILED = 500  #: the status of a target that failed by itself
@@ -17,13 +17,13 @@
 LOST_MOST = 4
 
 
-class Attempts(Allowance):
+class Attempts(RetryAllowance):
     """The targets that a request may still be sent to; none of them goes down the chain."""
 
     refused = 0
     sends = 1
 
-    def hand_down(self) -> int:
+    def delegate(self) -> int:
         """Hand nothing down: the count is that of one hop alone."""
         return 0
 
@@ -45,7 +45,7 @@
         kind = ErrorKind(reply.kind)
         if reply.outcome is Outcome.NOT_RUN:
             return kind in REFUSED_BY_NODE or kind is ErrorKind.TARGET_REFUSED
-        return work.ctx.idempotent and kind in LOST_ON_THE_WAY
+        return work.ctx.idempotent and kind in LOST_ANSWER_KINDS
 
     def spend(self, work: Work, reply: Reply) -> bool:
         """Pay for sending it; False when there is nothing left to pay with."""
--- a/dunlinsaddle/node.py
+++ b/dunlinsaddle/node.py
@@ -38,7 +38,7 @@
 from dunlinsaddle.platform.store import ObjectStore
 from dunlinsaddle.policy.admission import Admission
 from dunlinsaddle.policy.context import CallContext
-from dunlinsaddle.policy.ownership import Owner, Place
+from dunlinsaddle.policy.ownership import ListenerIdentity, Owner
 from dunlinsaddle.policy.quarantine import Quarantine
 from dunlinsaddle.policy.route import Router
 from dunlinsaddle.records.book import RecordBook
@@ -201,7 +201,7 @@
         )
         host = host_of(cfg.peers)
         if host:
-            self.keeper.place = Place(host, self.clock.zero())
+            self.keeper.place = ListenerIdentity(host, self.clock.zero())
         self.agent.start(self.me())
         roster = Roster(self.store, cfg.domain)
         bootstrap = Bootstrap(roster, self.agent.gossip, Random(self.env.rng.random()))
--- a/dunlinsaddle/once/keeper.py
+++ b/dunlinsaddle/once/keeper.py
@@ -9,16 +9,16 @@
 from result import Err, Ok
 
 from dunlinsaddle.platform.store import ABSENT, Conflict, ObjectStore, StoredObject
-from dunlinsaddle.policy.keys import BornKey, range_of
+from dunlinsaddle.policy.keys import TimestampedKey, range_number
 from dunlinsaddle.policy.ownership import (
-    HORIZON,
+    DEFAULT_HORIZON_MS,
     Interval,
+    ListenerIdentity,
     Owner,
-    Place,
+    PlanContext,
     RangeMap,
-    Situation,
-    decode_map,
-    encode_map,
+    decode_range_map,
+    encode_range_map,
     plan_ranges,
 )
 
@@ -93,14 +93,14 @@
         me: Owner,
         clock: Callable[[], int],
         rng: Random,
-        horizon: int = HORIZON,
+        horizon: int = DEFAULT_HORIZON_MS,
     ) -> None:
         self.store = store
         self.me = me
         self.clock = clock
         self.rng = rng
         self.horizon = horizon  #: ms
-        self.place: Place | None = None  #: set once this run listens for its peers
+        self.place: ListenerIdentity | None = None  #: set once this run listens for its peers
         self.closed = False
         self.reads = 0
         self.writes = 0
@@ -127,22 +127,22 @@
         age = asyncio.get_running_loop().time() - held.read_at
         return Holding(len(rows), min((i.until for i in rows), default=None), age)
 
-    def find(self, service: str, key: BornKey) -> Interval | None:
+    def find(self, service: str, key: TimestampedKey) -> Interval | None:
         """Give the interval that a key is in, by the map held."""
         held = self._held.get(service)
-        return held.map.find(range_of(service, key), key.birth) if held else None
+        return held.map.find(range_number(service, key), key.birth) if held else None
 
-    def later(self, service: str, key: BornKey) -> Sequence[Interval]:
+    def later(self, service: str, key: TimestampedKey) -> Sequence[Interval]:
         """Give the intervals that follow the one that a key is in, by the map held."""
         held = self._held.get(service)
-        return held.map.later(range_of(service, key), key.birth) if held else ()
+        return held.map.later_intervals(range_number(service, key), key.birth) if held else ()
 
-    def accept(self, service: str, key: BornKey) -> bool:
+    def accept(self, service: str, key: TimestampedKey) -> bool:
         """Say whether this node may run a key; from a yes on, the range reaches behind it."""
         interval = self.find(service, key)
         if self.closed or interval is None or interval.owner != self.me:
             return False
-        number = range_of(service, key)
+        number = range_number(service, key)
         fence = self._fences.get((service, number))
         if fence is not None and key.birth >= fence.cut:
             return False
@@ -193,7 +193,7 @@
             self._pause()
             return
         for _ in range(WRITE_TRIES):
-            here = Situation(
+            here = PlanContext(
                 self.me,
                 serving,
                 self.clock(),
@@ -206,16 +206,16 @@
             plan = plan_ranges(service, held.map, here)
             if plan is None:
                 return
-            for number, cut in plan.cuts.items():
+            for number, cut in plan.closing_times.items():
                 self._fence(service, number, _Fence(cut, held.version))
-            if await self._write(service, plan.map, held.version):
+            if await self._write(service, plan.range_map, held.version):
                 return
 
     def _must_read(self, service: str, serving: Sequence[str]) -> bool:
         held = self._held.get(service)
         if held is None or self.stale(service) or self._uncertain(service, held):
             return True
-        newcomers = any(name not in held.map.present for name in serving)
+        newcomers = any(name not in held.map.present_epochs for name in serving)
         age = asyncio.get_running_loop().time() - held.read_at
         return newcomers and age > LOOK_FOR_NEWCOMERS_SECONDS
 
@@ -239,7 +239,7 @@
     async def _write(self, service: str, wanted: RangeMap, expected: int) -> bool:
         """Write a map; False when another write came first and the plan must be made anew."""
         self.writes += 1
-        match await self.store.put(RANGE_MAPS, service, encode_map(wanted), expected):
+        match await self.store.put(RANGE_MAPS, service, encode_range_map(wanted), expected):
             case Ok(stored):
                 self._take(service, stored)
                 return True
@@ -267,7 +267,7 @@
         if stored.version <= held.version:
             return stored.version == held.version
         try:
-            newer = decode_map(stored.value)
+            newer = decode_range_map(stored.value)
         except (ValueError, msgspec.MsgspecError):
             # Deleted or unreadable: starting afresh could overlap with what others hold.
             return False
--- a/dunlinsaddle/once/opaque.py
+++ b/dunlinsaddle/once/opaque.py
@@ -28,7 +28,7 @@
     A lost answer is settled by reading. What is read as ours is ours for good; where nothing
     can be read, the key must not be run, for another node may have claimed it.
     """
-    name = f'{service}.{key.name}'
+    name = f'{service}.{key.object_name}'
     wanted = Claim(me, clock())
     match await store.put(CLAIMS, name, msgspec.to_builtins(wanted), ABSENT):
         case Ok(_):
--- a/dunlinsaddle/policy/once_table.py
+++ b/dunlinsaddle/policy/key_table.py
@@ -13,10 +13,10 @@
 
 from dunlinsaddle.errors import ErrorKind
 
-FUTURE_MARGIN = 30_000  #: a key may be this much ahead of the owner's clock, ms
+FUTURE_MARGIN_MS = 30_000  #: a key may be this much ahead of the owner's clock, ms
 MAX_KEYS = 50_000  #: keys held: a bound on memory
 MAX_ANSWER_BYTES = 16_384  #: of an answer that is kept: a bound on memory, by judgement
-MAX_ANSWERS_BYTES = 16 << 20  #: of all that are kept: a bound on memory, by judgement
+MAX_TOTAL_ANSWER_BYTES = 16 << 20  #: of all that are kept: a bound on memory, by judgement
 
 Answer = TypeVar('Answer')
 
@@ -30,25 +30,25 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Begun:
+class KeyStarted:
     """The key is new here and now counts as running."""
 
 
 @dataclass(frozen=True, slots=True)
-class Known(Generic[Answer]):
+class StoredAnswer(Generic[Answer]):
     """The key has run; this is the answer that it got."""
 
     answer: Answer
 
 
 @dataclass(frozen=True, slots=True)
-class Denied:
+class KeyRefused:
     """The key may not be run; the kind says why."""
 
     kind: ErrorKind
 
 
-class Ended(NamedTuple, Generic[Answer]):
+class KeyRecord(NamedTuple, Generic[Answer]):
     """What another owner knew of a key at its end.
 
     ``done`` is false where the end of the run is not known; ``answer`` is None then, and where
@@ -77,7 +77,7 @@
 class KeyTable(Generic[Answer]):
     """The keys of one service that this node runs or has run. All times in milliseconds."""
 
-    def __init__(self, max_keys: int = MAX_KEYS, max_bytes: int = MAX_ANSWERS_BYTES) -> None:
+    def __init__(self, max_keys: int = MAX_KEYS, max_bytes: int = MAX_TOTAL_ANSWER_BYTES) -> None:
         self.max_keys = max_keys
         self.max_bytes = max_bytes
         self.floor = 0
@@ -89,36 +89,36 @@
     def __len__(self) -> int:
         return len(self._entries)
 
-    def look(self, key: str, fingerprint: int) -> Known[Answer] | Denied | None:
+    def lookup(self, key: str, fingerprint: int) -> StoredAnswer[Answer] | KeyRefused | None:
         """Say what is known of a key; None for a key that is not in the table."""
         entry = self._entries.get(key)
         if entry is None:
             return None
         if entry.fingerprint != fingerprint:
-            return Denied(ErrorKind.KEY_REUSED)
+            return KeyRefused(ErrorKind.KEY_REUSED)
         match entry.state:
             case KeyState.RUNNING:
-                return Denied(ErrorKind.KEY_IN_PROGRESS)
+                return KeyRefused(ErrorKind.KEY_IN_PROGRESS)
             case KeyState.UNKNOWN:
-                return Denied(ErrorKind.OUTCOME_UNKNOWN)
+                return KeyRefused(ErrorKind.OUTCOME_UNKNOWN)
         if entry.answer is None:
-            return Denied(ErrorKind.ANSWER_GONE)
-        return Known(entry.answer)
+            return KeyRefused(ErrorKind.ANSWER_GONE)
+        return StoredAnswer(entry.answer)
 
-    def begin(self, key: str, birth: int, fingerprint: int, now: int) -> Begun | Denied:
-        """Take a key that ``look`` does not know, unless its age forbids it."""
+    def begin(self, key: str, birth: int, fingerprint: int, now: int) -> KeyStarted | KeyRefused:
+        """Take a key that ``lookup`` does not know, unless its age forbids it."""
         if birth < self.floor:
-            return Denied(ErrorKind.KEY_EXPIRED)
-        if birth > now + FUTURE_MARGIN:
-            return Denied(ErrorKind.KEY_IN_FUTURE)
+            return KeyRefused(ErrorKind.KEY_EXPIRED)
+        if birth > now + FUTURE_MARGIN_MS:
+            return KeyRefused(ErrorKind.KEY_IN_FUTURE)
         self._make_room()
         if birth < self.floor:
-            return Denied(ErrorKind.KEY_EXPIRED)
+            return KeyRefused(ErrorKind.KEY_EXPIRED)
         self._entries[key] = _Entry(birth, fingerprint)
         heapq.heappush(self._births, (birth, key))
-        return Begun()
+        return KeyStarted()
 
-    def done(self, key: str, answer: Answer, size: int) -> None:
+    def complete(self, key: str, answer: Answer, size: int) -> None:
         """Note the end of a run with its answer, which takes ``size`` bytes."""
         entry = self._entries.get(key)
         if entry is None:
@@ -132,24 +132,24 @@
         while self.answer_bytes > self.max_bytes:
             self._drop_answer(next(iter(self._answered)))
 
-    def unknown(self, key: str) -> None:
+    def mark_unknown(self, key: str) -> None:
         """Note a run whose end cannot be told: it stays so."""
         entry = self._entries.get(key)
         if entry is not None:
             entry.state = KeyState.UNKNOWN
 
-    def not_run(self, key: str) -> None:
+    def forget(self, key: str) -> None:
         """Forget a key on the proof that it did not run: it may be sent again."""
         self._entries.pop(key, None)
 
-    def ended(self) -> list[Ended[Answer]]:
+    def export_records(self) -> list[KeyRecord[Answer]]:
         """Give all that is known, for the next owners; a key that still runs counts as unknown."""
         return [
-            Ended(key, e.birth, e.fingerprint, e.state is KeyState.DONE, e.answer, e.size)
+            KeyRecord(key, e.birth, e.fingerprint, e.state is KeyState.DONE, e.answer, e.size)
             for key, e in self._entries.items()
         ]
 
-    def learn(self, known: Ended[Answer]) -> None:
+    def import_record(self, known: KeyRecord[Answer]) -> None:
         """Remember what a former owner knew, in at most half of the table's room.
 
         Beyond that it is left out and stays unknown: room for it must not raise the floor, for
@@ -161,11 +161,11 @@
         self._entries[known.key] = _Entry(known.birth, known.fingerprint)
         heapq.heappush(self._births, (known.birth, known.key))
         if not known.done:
-            self.unknown(known.key)
+            self.mark_unknown(known.key)
         elif known.answer is None or self.answer_bytes + known.size > self.max_bytes // 2:
             self._entries[known.key].state = KeyState.DONE
         else:
-            self.done(known.key, known.answer, known.size)
+            self.complete(known.key, known.answer, known.size)
 
     def raise_floor(self, floor: int) -> None:
         """Drop all keys born before ``floor``; none of them is ever run any more."""
--- a/dunlinsaddle/policy/keys.py
+++ b/dunlinsaddle/policy/keys.py
@@ -10,7 +10,7 @@
 import xxhash
 from result import Err, Ok, Result
 
-RANGES = 64  #: per service
+RANGE_COUNT = 64  #: per service
 MAX_KEY_LENGTH = 127
 _UUID = re.compile(r'[0-9a-f]{8}(-[0-9a-f]{4}){3}-[0-9a-f]{12}')
 _VARIANT_BITS = 0b10 << 62
@@ -19,7 +19,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class BornKey:
+class TimestampedKey:
     """A UUIDv7 (RFC 9562); ``birth`` is its own time stamp in Unix milliseconds."""
 
     text: str
@@ -33,12 +33,12 @@
     text: str
 
     @property
-    def name(self) -> str:
+    def object_name(self) -> str:
         """The key in a form that can name an object of the platform."""
         return hashlib.sha256(self.text.encode()).hexdigest()
 
 
-Key = BornKey | OpaqueKey
+Key = TimestampedKey | OpaqueKey
 
 
 def parse_key(text: str) -> Result[Key, str]:
@@ -60,20 +60,22 @@
     if _UUID.fullmatch(lower):
         uuid = UUID(lower)
         if uuid.version == 7:
-            return Ok(BornKey(lower, uuid.int >> _BIRTH_SHIFT))
+            return Ok(TimestampedKey(lower, uuid.int >> _BIRTH_SHIFT))
     return Ok(OpaqueKey(bare))
 
 
-def range_of(service: str, key: BornKey) -> int:
+def range_number(service: str, key: TimestampedKey) -> int:
     """Give the range that a key falls in: the same whichever node is asked."""
-    return xxhash.xxh64_intdigest(f'{service}\0{key.text}'.encode()) % RANGES
+    return xxhash.xxh64_intdigest(f'{service}\0{key.text}'.encode()) % RANGE_COUNT
 
 
-def mint_key(now: int, rng: Random, service: str, wanted: Collection[int] = ()) -> BornKey:
-    """Make a key born at ``now`` (ms), in one of the wanted ranges if any are named."""
+def generate_key(
+    now: int, rng: Random, service: str, allowed_ranges: Collection[int] = ()
+) -> TimestampedKey:
+    """Make a key born at ``now`` (ms), in one of the allowed_ranges ranges if any are named."""
     while True:
         low = rng.getrandbits(62) | _VARIANT_BITS
         number = now << _BIRTH_SHIFT | _VERSION_BITS | rng.getrandbits(12) << 64 | low
-        key = BornKey(str(UUID(int=number)), now)
-        if not wanted or range_of(service, key) in wanted:
+        key = TimestampedKey(str(UUID(int=number)), now)
+        if not allowed_ranges or range_number(service, key) in allowed_ranges:
             return key
--- a/dunlinsaddle/policy/naive.py
+++ b/dunlinsaddle/policy/naive.py
@@ -20,9 +20,9 @@
 class FixedLimit:
     """So many calls run at once, the others wait in the order of their arrival."""
 
-    def __init__(self, limit: int, most: int) -> None:
+    def __init__(self, limit: int, max_calls: int) -> None:
         self.limit = limit
-        self.most = most
+        self.max_calls = max_calls
         self.inflight = 0
         self.queue: deque[Ticket] = deque()
 
@@ -31,7 +31,7 @@
         if self.inflight < self.limit and not self.queue:
             self.inflight += 1
             return Run()
-        if self.inflight + len(self.queue) >= self.most:
+        if self.inflight + len(self.queue) >= self.max_calls:
             return Refuse(Failure(ErrorKind.OVERLOADED, retry_after=1.0))
         self.queue.append(ticket)
         return Wait()
--- a/dunlinsaddle/policy/ownership.py
+++ b/dunlinsaddle/policy/ownership.py
@@ -18,16 +18,18 @@
 import msgspec
 import xxhash
 
-from dunlinsaddle.policy.keys import RANGES
-from dunlinsaddle.policy.once_table import FUTURE_MARGIN
+from dunlinsaddle.policy.key_table import FUTURE_MARGIN_MS
+from dunlinsaddle.policy.keys import RANGE_COUNT
 
-HORIZON = 300_000  #: how far ahead an owner holds its ranges unless told otherwise, ms
-EXTEND_BELOW = 0.8  #: an owner extends when less than this part of its horizon is left
-CLAIM_BELOW = 60_000  #: others claim what comes next when less than this is left, ms
-KEEP_CLOSED = 3_600_000  #: closed intervals are listed for this long, ms
-CUT_BACK = 60_000  #: how far behind the owner's clock a range that it gives away may end, ms
-MOVES_AT_ONCE = 8
-TAKEOVER_MARGIN = FUTURE_MARGIN + 1000  #: from a former run's clock to its last key, ms
+DEFAULT_HORIZON_MS = 300_000  #: how far ahead an owner holds its ranges unless told otherwise, ms
+EXTEND_BELOW_SHARE = 0.8  #: an owner extends when less than this part of its horizon is left
+CLAIM_BELOW_MS = 60_000  #: others claim what comes next when less than this is left, ms
+CLOSED_RETENTION_MS = 3_600_000  #: closed intervals are listed for this long, ms
+HANDOVER_BACKDATE_MS = (
+    60_000  #: how far behind the owner's clock a range that it gives away may end, ms
+)
+MAX_HANDOVERS_PER_PLAN = 8
+TAKEOVER_MARGIN_MS = FUTURE_MARGIN_MS + 1000  #: from a former run's clock to its last key, ms
 
 
 class Owner(NamedTuple):
@@ -45,7 +47,7 @@
     until: int
 
 
-class Place(NamedTuple):
+class ListenerIdentity(NamedTuple):
     """Where a run listens; two runs with the same ``host`` cannot both be listening.
 
     ``host`` stands for the kernel's boot, the network namespace, and the peers face's address
@@ -53,64 +55,66 @@
     which all processes of one boot share.
     """
 
-    host: str
-    zero: int
+    endpoint_id: str
+    clock_origin: int
 
 
 Ranges = tuple[tuple[Interval, ...], ...]
-NO_RANGES: Ranges = ((),) * RANGES
+EMPTY_RANGES: Ranges = ((),) * RANGE_COUNT
 
 
 class RangeMap(NamedTuple):
     """The ranges of one service, and the runs of its instances that can be given some."""
 
-    ranges: Ranges = NO_RANGES
-    present: Mapping[str, str] = {}  #: instance -> epoch
-    places: Mapping[str, Place] = {}  #: epoch -> where that run listens, if it can be told
+    ranges: Ranges = EMPTY_RANGES
+    present_epochs: Mapping[str, str] = {}  #: instance -> epoch
+    listeners: Mapping[
+        str, ListenerIdentity
+    ] = {}  #: epoch -> where that run listens, if it can be told
 
     def find(self, number: int, birth: int) -> Interval | None:
         """Give the interval of a range that a key's birth falls in."""
         return find_interval(self.ranges[number], birth)
 
-    def superseded(self, owner: Owner) -> bool:
+    def is_superseded(self, owner: Owner) -> bool:
         """Say whether a newer run of the same instance has entered itself.
 
         A run that owns nothing here never entered itself: what stands there may be older.
         """
-        if self.present.get(owner.instance, owner.epoch) == owner.epoch:
+        if self.present_epochs.get(owner.instance, owner.epoch) == owner.epoch:
             return False
         return any(i.owner == owner for row in self.ranges for i in row)
 
-    def later(self, number: int, birth: int) -> tuple[Interval, ...]:
+    def later_intervals(self, number: int, birth: int) -> tuple[Interval, ...]:
         """Give the intervals of a range that follow the one that a birth falls in."""
         return tuple(i for i in self.ranges[number] if i.start > birth)
 
-    def forgot(self, number: int, birth: int) -> bool:
+    def is_pruned(self, number: int, birth: int) -> bool:
         """Say whether the interval of a birth may have been listed once and is no more."""
         intervals = self.ranges[number]
         return bool(intervals) and birth < intervals[0].start
 
 
-class Plan(NamedTuple):
+class RangePlan(NamedTuple):
     """A change to write, and the own ranges that it closes: range -> last birth allowed + 1."""
 
-    map: RangeMap
-    cuts: dict[int, int]
+    range_map: RangeMap
+    closing_times: dict[int, int]
 
 
-class Situation(NamedTuple):
+class PlanContext(NamedTuple):
     """What a plan is made from. ``highest`` is the latest birth accepted in each range, ms.
 
     ``place`` is given only once this run listens there; without it nothing is taken over early.
     """
 
-    me: Owner
+    owner: Owner
     serving: Sequence[str]
     now: int
-    highest: Mapping[int, int]
-    leaving: bool = False
-    place: Place | None = None
-    horizon: int = HORIZON
+    latest_births: Mapping[int, int]
+    is_leaving: bool = False
+    listener: ListenerIdentity | None = None
+    horizon: int = DEFAULT_HORIZON_MS
 
 
 def find_interval(intervals: Sequence[Interval], birth: int) -> Interval | None:
@@ -121,7 +125,7 @@
     return None
 
 
-def preferred(service: str, number: int, instances: Collection[str]) -> str | None:
+def preferred_instance(service: str, number: int, instances: Collection[str]) -> str | None:
     """Give the instance that should own a range (rendezvous hash); None without instances."""
     return max(
         instances,
@@ -130,55 +134,55 @@
     )
 
 
-def plan_ranges(service: str, held: RangeMap, here: Situation) -> Plan | None:
+def plan_ranges(service: str, held: RangeMap, context: PlanContext) -> RangePlan | None:
     """Give the ranges as this node would like them, or None where all is well.
 
     A range is handed over only to a run of an instance that has entered itself as present.
     """
     planned = list(held.ranges)
     cuts: dict[int, int] = {}
-    extends = any(_wants_extension(intervals, here) for intervals in held.ranges)
+    extends = any(_wants_extension(intervals, context) for intervals in held.ranges)
     for number, intervals in enumerate(held.ranges):
         last = intervals[-1] if intervals else None
-        if last is None or last.owner != here.me:
-            intervals = _end_former(intervals, here, held.places)
-            planned[number] = _claim(service, number, intervals, here)
+        if last is None or last.owner != context.owner:
+            intervals = _end_former(intervals, context, held.listeners)
+            planned[number] = _claim(service, number, intervals, context)
             continue
-        heir = _heir(service, number, here, held.present)
-        if here.leaving or (heir is not None and len(cuts) < MOVES_AT_ONCE):
-            cuts[number] = _cut(last, here.highest.get(number, 0), here.now)
-            planned[number] = _close(intervals, cuts[number], heir, here)
+        heir = _heir(service, number, context, held.present_epochs)
+        if context.is_leaving or (heir is not None and len(cuts) < MAX_HANDOVERS_PER_PLAN):
+            cuts[number] = _cut(last, context.latest_births.get(number, 0), context.now)
+            planned[number] = _close(intervals, cuts[number], heir, context)
         elif extends:
-            longer = last._replace(until=max(last.until, here.now + here.horizon))
+            longer = last._replace(until=max(last.until, context.now + context.horizon))
             planned[number] = (*intervals[:-1], longer)
-    present = _present(held.present, here)
-    if tuple(planned) == held.ranges and present == held.present:
+    present = _present(held.present_epochs, context)
+    if tuple(planned) == held.ranges and present == held.present_epochs:
         return None
-    ranges = _without_old(planned, here.now)
-    return Plan(RangeMap(ranges, present, _places(held, here, ranges, present)), cuts)
+    ranges = _without_old(planned, context.now)
+    return RangePlan(RangeMap(ranges, present, _places(held, context, ranges, present)), cuts)
 
 
-def _present(held: Mapping[str, str], here: Situation) -> dict[str, str]:
-    me = here.me
-    if held.get(me.instance) == (None if here.leaving else me.epoch):
+def _present(held: Mapping[str, str], context: PlanContext) -> dict[str, str]:
+    me = context.owner
+    if held.get(me.instance) == (None if context.is_leaving else me.epoch):
         return dict(held)
-    present = {name: epoch for name, epoch in held.items() if name in here.serving}
+    present = {name: epoch for name, epoch in held.items() if name in context.serving}
     present.pop(me.instance, None)
-    return present if here.leaving else {**present, me.instance: me.epoch}
+    return present if context.is_leaving else {**present, me.instance: me.epoch}
 
 
 def _places(
-    held: RangeMap, here: Situation, ranges: Ranges, present: Mapping[str, str]
-) -> dict[str, Place]:
-    places = dict(held.places)
-    if here.place is not None:
-        places[here.me.epoch] = here.place
+    held: RangeMap, context: PlanContext, ranges: Ranges, present: Mapping[str, str]
+) -> dict[str, ListenerIdentity]:
+    places = dict(held.listeners)
+    if context.listener is not None:
+        places[context.owner.epoch] = context.listener
     needed = {row[-1].owner.epoch for row in ranges if row} | set(present.values())
     return {epoch: place for epoch, place in places.items() if epoch in needed}
 
 
 def _end_former(
-    intervals: tuple[Interval, ...], here: Situation, places: Mapping[str, Place]
+    intervals: tuple[Interval, ...], context: PlanContext, places: Mapping[str, ListenerIdentity]
 ) -> tuple[Interval, ...]:
     """Close the last interval early and go on in its owner's stead, where that run has ended.
 
@@ -190,45 +194,47 @@
     """
     last = intervals[-1] if intervals else None
     former = places.get(last.owner.epoch) if last else None
-    if last is None or former is None or here.place is None or here.leaving:
+    if last is None or former is None or context.listener is None or context.is_leaving:
         return intervals
-    if former.host != here.place.host:
+    if former.endpoint_id != context.listener.endpoint_id:
         return intervals
-    its_now = here.now - here.place.zero + former.zero
-    cut = max(last.start, here.now, its_now + TAKEOVER_MARGIN)
+    its_now = context.now - context.listener.clock_origin + former.clock_origin
+    cut = max(last.start, context.now, its_now + TAKEOVER_MARGIN_MS)
     if cut >= last.until:
         return intervals
-    return _close(intervals, cut, here.me, here)
+    return _close(intervals, cut, context.owner, context)
 
 
-def _wants_extension(intervals: Sequence[Interval], here: Situation) -> bool:
-    if not intervals or intervals[-1].owner != here.me or here.leaving:
+def _wants_extension(intervals: Sequence[Interval], context: PlanContext) -> bool:
+    if not intervals or intervals[-1].owner != context.owner or context.is_leaving:
         return False
-    return intervals[-1].until - here.now < EXTEND_BELOW * here.horizon
+    return intervals[-1].until - context.now < EXTEND_BELOW_SHARE * context.horizon
 
 
 def _claim(
-    service: str, number: int, intervals: tuple[Interval, ...], here: Situation
+    service: str, number: int, intervals: tuple[Interval, ...], context: PlanContext
 ) -> tuple[Interval, ...]:
-    if here.leaving:
+    if context.is_leaving:
         return intervals
     last = intervals[-1] if intervals else None
-    if last is not None and last.until - here.now >= CLAIM_BELOW:
+    if last is not None and last.until - context.now >= CLAIM_BELOW_MS:
         return intervals
     # The last owner missed its extension: it may be dead, or cut off from the platform alone.
     gone = last.owner.instance if last else ''
-    others = [n for n in here.serving if n != gone or n == here.me.instance]
-    if preferred(service, number, others) != here.me.instance:
+    others = [n for n in context.serving if n != gone or n == context.owner.instance]
+    if preferred_instance(service, number, others) != context.owner.instance:
         return intervals
-    start = last.until if last else here.now
-    return (*intervals, Interval(here.me, start, max(start, here.now) + here.horizon))
+    start = last.until if last else context.now
+    return (*intervals, Interval(context.owner, start, max(start, context.now) + context.horizon))
 
 
-def _heir(service: str, number: int, here: Situation, epochs: Mapping[str, str]) -> Owner | None:
-    others = [n for n in here.serving if n in epochs and n != here.me.instance]
-    able = others if here.leaving else [*others, here.me.instance]
-    chosen = preferred(service, number, able)
-    if chosen is None or chosen == here.me.instance:
+def _heir(
+    service: str, number: int, context: PlanContext, epochs: Mapping[str, str]
+) -> Owner | None:
+    others = [n for n in context.serving if n in epochs and n != context.owner.instance]
+    able = others if context.is_leaving else [*others, context.owner.instance]
+    chosen = preferred_instance(service, number, able)
+    if chosen is None or chosen == context.owner.instance:
         return None
     return Owner(chosen, epochs[chosen])
 
@@ -239,25 +245,27 @@
     Were it to end at the owner's clock, keys born before that and sent after the owner's end
     would be "unknown", though nobody ran them: by a fast clock, even those of the next seconds.
     """
-    return min(last.until, max(last.start, now - CUT_BACK, highest + 1))
+    return min(last.until, max(last.start, now - HANDOVER_BACKDATE_MS, highest + 1))
 
 
 def _close(
-    intervals: tuple[Interval, ...], cut: int, heir: Owner | None, here: Situation
+    intervals: tuple[Interval, ...], cut: int, heir: Owner | None, context: PlanContext
 ) -> tuple[Interval, ...]:
     closed = (*intervals[:-1], intervals[-1]._replace(until=cut))
-    return (*closed, Interval(heir, cut, max(cut, here.now) + here.horizon)) if heir else closed
+    return (
+        (*closed, Interval(heir, cut, max(cut, context.now) + context.horizon)) if heir else closed
+    )
 
 
 def _without_old(ranges: Sequence[tuple[Interval, ...]], now: int) -> Ranges:
     def young(intervals: tuple[Interval, ...]) -> tuple[Interval, ...]:
-        kept = tuple(i for i in intervals[:-1] if i.until > now - KEEP_CLOSED)
+        kept = tuple(i for i in intervals[:-1] if i.until > now - CLOSED_RETENTION_MS)
         return (*kept, *intervals[-1:])
 
     return tuple(young(intervals) for intervals in ranges)
 
 
-def encode_map(held: RangeMap) -> Any:
+def encode_range_map(held: RangeMap) -> Any:
     """Give the form that the platform keeps: owners once, intervals as numbers."""
     owners: dict[Owner, int] = {}
     rows = [
@@ -267,8 +275,8 @@
     return {
         'owners': [list(o) for o in owners],
         'ranges': rows,
-        'present': dict(held.present),
-        'places': {epoch: list(place) for epoch, place in held.places.items()},
+        'present': dict(held.present_epochs),
+        'places': {epoch: list(place) for epoch, place in held.listeners.items()},
     }
 
 
@@ -276,14 +284,14 @@
     owners: list[Owner]
     ranges: list[list[tuple[int, int, int]]]
     present: dict[str, str]
-    places: dict[str, Place] = {}
+    places: dict[str, ListenerIdentity] = {}
 
 
-def decode_map(value: Any) -> RangeMap:
+def decode_range_map(value: Any) -> RangeMap:
     """Read what the platform keeps. Raises ValueError or MsgspecError if it cannot be."""
     stored = msgspec.convert(value, _Stored)
-    if len(stored.ranges) != RANGES:
-        raise ValueError(f'{len(stored.ranges)} ranges, expected {RANGES}')
+    if len(stored.ranges) != RANGE_COUNT:
+        raise ValueError(f'{len(stored.ranges)} ranges, expected {RANGE_COUNT}')
     try:
         ranges = tuple(
             tuple(Interval(stored.owners[o], start, until) for o, start, until in row)
--- a/dunlinsaddle/policy/quarantine.py
+++ b/dunlinsaddle/policy/quarantine.py
@@ -6,10 +6,12 @@
 
 from dunlinsaddle.errors import ErrorKind, Failure
 
-DEATHS_MOST = 2  #: targets that one request may kill: the first death names no one, the second does
+DEATHS_TO_QUARANTINE = (
+    2  #: targets that one request may kill: the first death names no one, the second does
+)
 SUSPECT_SECONDS = 120.0  #: seconds; by judgement, longer than callers go on sending one request
-REFUSE_SECONDS = 900.0  #: seconds; as long as keys are remembered by default
-FINGERPRINTS_MOST = 10_000  #: requests held: a bound on memory
+QUARANTINE_SECONDS = 900.0  #: seconds; as long as keys are remembered by default
+MAX_FINGERPRINTS = 10_000  #: requests held: a bound on memory
 
 
 class _Record(NamedTuple):
@@ -18,23 +20,23 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Clear:
+class NotSuspected:
     """No target is known to have died of the request."""
 
 
 @dataclass(frozen=True, slots=True)
-class Alone:
+class Suspected:
     """A target died while it ran the request, among others: run it beside no other suspect."""
 
 
 @dataclass(frozen=True, slots=True)
-class Barred:
+class Quarantined:
     """Two targets died of it: it is refused for good."""
 
     failure: Failure
 
 
-Standing = Clear | Alone | Barred
+QuarantineState = NotSuspected | Suspected | Quarantined
 
 
 class Quarantine:
@@ -48,42 +50,42 @@
     def __init__(self) -> None:
         self._records: OrderedDict[int, _Record] = OrderedDict()
 
-    def standing(self, now: float, fingerprint: int) -> Standing:
+    def check(self, now: float, fingerprint: int) -> QuarantineState:
         """Say how a request may be run."""
-        deaths = self.deaths(now, fingerprint)
+        deaths = self.death_count(now, fingerprint)
         if not deaths:
-            return Clear()
-        if deaths < DEATHS_MOST:
-            return Alone()
+            return NotSuspected()
+        if deaths < DEATHS_TO_QUARANTINE:
+            return Suspected()
         detail = f'{deaths} targets died while they ran this request'
-        return Barred(Failure(ErrorKind.QUARANTINED, detail))
+        return Quarantined(Failure(ErrorKind.QUARANTINED, detail))
 
-    def deaths(self, now: float, fingerprint: int) -> int:
+    def death_count(self, now: float, fingerprint: int) -> int:
         """Give the number of deaths that count against a request."""
         record = self._records.get(fingerprint)
         if record is None or record.until <= now:
             return 0
         return record.deaths
 
-    def died(self, now: float, fingerprint: int) -> int:
+    def record_death(self, now: float, fingerprint: int) -> int:
         """Note that a target died while it ran the request; gives the deaths so far."""
-        return self.hear(now, fingerprint, self.deaths(now, fingerprint) + 1)
+        return self.merge_deaths(now, fingerprint, self.death_count(now, fingerprint) + 1)
 
-    def hear(self, now: float, fingerprint: int, deaths: int) -> int:
+    def merge_deaths(self, now: float, fingerprint: int, deaths: int) -> int:
         """Take what another node says; the higher number stays. Gives the deaths known."""
         if deaths <= 0:
-            return self.deaths(now, fingerprint)
-        known = max(min(deaths, DEATHS_MOST), self.deaths(now, fingerprint))
-        seconds = REFUSE_SECONDS if known >= DEATHS_MOST else SUSPECT_SECONDS
+            return self.death_count(now, fingerprint)
+        known = max(min(deaths, DEATHS_TO_QUARANTINE), self.death_count(now, fingerprint))
+        seconds = QUARANTINE_SECONDS if known >= DEATHS_TO_QUARANTINE else SUSPECT_SECONDS
         self._records[fingerprint] = _Record(known, now + seconds)
         self._records.move_to_end(fingerprint)
-        if len(self._records) > FINGERPRINTS_MOST:
+        if len(self._records) > MAX_FINGERPRINTS:
             self._records.popitem(last=False)
         return known
 
-    def completed(self, now: float, fingerprint: int) -> None:
+    def record_completion(self, now: float, fingerprint: int) -> None:
         """Note that a request ran to its end: it did not kill its target."""
-        if self.deaths(now, fingerprint) < DEATHS_MOST:
+        if self.death_count(now, fingerprint) < DEATHS_TO_QUARANTINE:
             self._records.pop(fingerprint, None)
 
     def __len__(self) -> int:
--- a/dunlinsaddle/policy/quota.py
+++ b/dunlinsaddle/policy/quota.py
@@ -9,56 +9,58 @@
 from dunlinsaddle.policy.sliding import SlidingCount
 from dunlinsaddle.routes.models import Quota
 
-LENDERS = 3  #: nodes in turn that may lend an organisation's quota: two may be lost at once
-POINTS = 16  #: of each node on the ring: shares then differ by a quarter or so
+LENDERS_PER_ORGANISATION = (
+    3  #: nodes in turn that may lend an organisation's quota: two may be lost at once
+)
+RING_POINTS_PER_NODE = 16  #: of each node on the ring: shares then differ by a quarter or so
 #: Part of the burst that is lent at once; the rest is lent over the window. A lender that dies may
 #: have lent all of it a moment before, and the next one does not know.
-BURST_PART = 0.5
-SLOT_SECONDS = 0.1  #: by which requests of a window are counted
+INSTANT_BURST_SHARE = 0.5
+COUNT_SLOT_SECONDS = 0.1  #: by which requests of a window are counted
 #: Part of the slack that an idle bucket holds beyond the burst. An organisation with a request a
 #: second is refused by chance without it; the rest of the slack pays for changes of the lender.
-IDLE_PART = 0.35
+IDLE_SLACK_SHARE = 0.35
 #: Part of the overage that is lent; the rest is for changes of the lender, too.
-OVERAGE_PART = 0.25
+LENT_OVERAGE_SHARE = 0.25
 #: Part of the slack that a lender begins with, as it does not know what the one before it lent.
-FIRST_PART = 0.125
+INITIAL_SLACK_SHARE = 0.125
 #: Part of the rate that a stand-in lends. It cannot tell a lender that has died from one behind a
 #: cut, who goes on lending on its side.
-STAND_IN_PART = 0.25
-STAND_IN_SECONDS = 1.0  #: without a request after which a stand-in's bucket is begun anew
+SUBSTITUTE_RATE_SHARE = 0.25
+SUBSTITUTE_IDLE_SECONDS = 1.0  #: without a request after which a stand-in's bucket is begun anew
 #: Seconds; a caller that comes back within them is mostly still answered while that is worth most.
-LONGEST_COME_BACK = 0.8
-BUCKETS_MOST = 20_000  #: organisations that one node lends to: a bound on memory
+MAX_RETRY_AFTER_SECONDS = 0.8
+MAX_BUCKETS = 20_000  #: organisations that one node lends to: a bound on memory
 
 
 @dataclass(frozen=True, slots=True)
-class Lent:
+class Granted:
     """The request may run."""
 
 
 @dataclass(frozen=True, slots=True)
-class Later:
+class RetryLater:
     """The quota is used up; there is room after ``seconds``."""
 
     seconds: float
 
 
-Verdict = Lent | Later
+QuotaDecision = Granted | RetryLater
 
 
-class Ring:
+class HashRing:
     """An order of nodes for each organisation, the same wherever the same nodes are known."""
 
     def __init__(self) -> None:
-        self.names: frozenset[str] = frozenset()
+        self.nodes: frozenset[str] = frozenset()
         self._points: list[tuple[int, str]] = []
 
-    def update(self, names: Iterable[str]) -> bool:
+    def update(self, nodes: Iterable[str]) -> bool:
         """Take the nodes that are there; say whether they are others than before."""
-        found = frozenset(names)
-        if found == self.names:
+        found = frozenset(nodes)
+        if found == self.nodes:
             return False
-        self.names = found
+        self.nodes = found
         self._points = sorted((point, name) for name in found for point in _points(name))
         return True
 
@@ -71,7 +73,7 @@
             name = points[(start + index) % len(points)][1]
             if name not in found:
                 found.append(name)
-                if len(found) == LENDERS:
+                if len(found) == LENDERS_PER_ORGANISATION:
                     break
         return found
 
@@ -86,7 +88,7 @@
         self.at = now
         self.born = born
         self.promised = now  #: until when the refill is promised to those told to come back
-        self.recent = SlidingCount(SLOT_SECONDS, _slots(window))
+        self.recent = SlidingCount(COUNT_SLOT_SECONDS, _slots(window))
 
     def take(self, now: float, rate: float, most: float, window: float, limit: float) -> bool:
         self.tokens = min(self.tokens + (now - self.at) * rate, most)
@@ -98,11 +100,11 @@
         return True
 
     def come_back(self, now: float, rate: float) -> float:
-        self.promised = min(max(self.promised, now) + 1 / rate, now + LONGEST_COME_BACK)
+        self.promised = min(max(self.promised, now) + 1 / rate, now + MAX_RETRY_AFTER_SECONDS)
         return self.promised - now
 
 
-class Ledger:
+class QuotaLedger:
     """The buckets of the organisations whose quota this node lends.
 
     A quota of a rate and a burst means so many requests in each window: the rate times the
@@ -117,12 +119,12 @@
         self.slack = slack
         self.window = window
         self.overage = overage
-        self.share = 1.0
+        self.reachable_share = 1.0
         self._since = 0.0  #: since when this node lends for whom it has no bucket yet
         self._own: dict[str, _Bucket] = {}
         self._stood_in: dict[str, _Bucket] = {}
 
-    def begin(self, now: float, keeps: Iterable[str]) -> None:
+    def reset(self, now: float, keeps: Iterable[str]) -> None:
         """Begin anew for all but those that this node keeps on lending to."""
         self._since = now
         kept = set(keeps)
@@ -132,46 +134,52 @@
         """Give those that this node lends to as the first of its lenders."""
         return list(self._own)
 
-    def take(self, now: float, organisation: str, quota: Quota, *, first: bool) -> Verdict:
+    def take(
+        self, now: float, organisation: str, quota: Quota, *, is_first_lender: bool
+    ) -> QuotaDecision:
         """Lend for one request; ``first`` unless this node stands in for another."""
-        part = self.share * (1.0 + OVERAGE_PART * self.overage if first else STAND_IN_PART)
+        part = self.reachable_share * (
+            1.0 + LENT_OVERAGE_SHARE * self.overage if is_first_lender else SUBSTITUTE_RATE_SHARE
+        )
         rate = quota.rate * part
-        bucket = self._bucket(now, organisation, rate, first=first)
-        if first and now - bucket.born >= self.window:
+        bucket = self._bucket(now, organisation, rate, is_first_lender=is_first_lender)
+        if is_first_lender and now - bucket.born >= self.window:
             rate += quota.burst * part / self.window
-        idle = IDLE_PART * self.slack
-        most = max(BURST_PART * quota.burst * part + idle, 1.0)
+        idle = IDLE_SLACK_SHARE * self.slack
+        most = max(INSTANT_BURST_SHARE * quota.burst * part + idle, 1.0)
         limit = max((quota.rate * self.window + quota.burst) * part + idle, 1.0)
         if bucket.take(now, rate, most, self.window, limit):
-            return Lent()
-        return Later(bucket.come_back(now, rate))
+            return Granted()
+        return RetryLater(bucket.come_back(now, rate))
 
-    def give_back(self, organisation: str) -> None:
+    def refund(self, organisation: str) -> None:
         """Take back what was lent for a request that did not run."""
         bucket = self._own.get(organisation) or self._stood_in.get(organisation)
         if bucket is not None:
             bucket.tokens += 1
             bucket.recent.take_back()
 
-    def tokens(self) -> dict[str, float]:
+    def tokens_left(self) -> dict[str, float]:
         """Give what is left, by organisation, as of the latest request of each."""
         return {name: bucket.tokens for name, bucket in self._own.items()}
 
-    def _bucket(self, now: float, organisation: str, rate: float, *, first: bool) -> _Bucket:
-        buckets = self._own if first else self._stood_in
+    def _bucket(
+        self, now: float, organisation: str, rate: float, *, is_first_lender: bool
+    ) -> _Bucket:
+        buckets = self._own if is_first_lender else self._stood_in
         found = buckets.get(organisation)
-        if found is not None and (first or now - found.at < STAND_IN_SECONDS):
+        if found is not None and (is_first_lender or now - found.at < SUBSTITUTE_IDLE_SECONDS):
             return found
-        if len(buckets) >= BUCKETS_MOST:
+        if len(buckets) >= MAX_BUCKETS:
             buckets.clear()
-        since = self._since if first else now
-        tokens = FIRST_PART * self.slack + rate * max(now - since, 0.0)
+        since = self._since if is_first_lender else now
+        tokens = INITIAL_SLACK_SHARE * self.slack + rate * max(now - since, 0.0)
         found = buckets[organisation] = _Bucket(now, tokens, since, self.window)
         return found
 
 
 def _slots(window: float) -> int:
-    return round(window / SLOT_SECONDS)
+    return round(window / COUNT_SLOT_SECONDS)
 
 
 def _hash(text: str) -> int:
@@ -179,4 +187,4 @@
 
 
 def _points(name: str) -> list[int]:
-    return [_hash(f'{name}/{index}') for index in range(POINTS)]
+    return [_hash(f'{name}/{index}') for index in range(RING_POINTS_PER_NODE)]
--- a/dunlinsaddle/policy/callers.py
+++ b/dunlinsaddle/policy/resend_guard.py
@@ -6,9 +6,9 @@
 from dunlinsaddle.records.models import Rank
 
 BURST = 10.0  #: early resends that a caller may make before its ratio counts; by judgement
-CALLERS_MOST = 10_000  #: callers held: a bound on memory
-REFUSALS_MOST = 50_000  #: refusals held until their time has passed: a bound on memory
-PENALTY_MOST = 60.0  #: seconds; the longest that a caller is told to stay away, by judgement
+MAX_CALLERS = 10_000  #: callers held: a bound on memory
+MAX_REFUSALS = 50_000  #: refusals held until their time has passed: a bound on memory
+MAX_PENALTY_SECONDS = 60.0  #: seconds; the longest that a caller is told to stay away, by judgement
 
 
 class _Caller:
@@ -52,17 +52,17 @@
             known.tokens -= 1
             return None
         known.early += 1
-        wait = min(told - now + 0.1 * known.early, PENALTY_MOST)
+        wait = min(told - now + 0.1 * known.early, MAX_PENALTY_SECONDS)
         return Failure(ErrorKind.CALLER_OVER_RATE, 'sent again before Retry-After', wait)
 
-    def refused(self, now: float, caller: str, name: str, retry_after: float) -> None:
+    def record_refusal(self, now: float, caller: str, name: str, retry_after: float) -> None:
         """Note when a refused request was told to come back."""
         self._come_back[caller, name] = now + retry_after
         self._come_back.move_to_end((caller, name))
-        if len(self._come_back) > REFUSALS_MOST:
+        if len(self._come_back) > MAX_REFUSALS:
             self._come_back.popitem(last=False)
 
-    def answered(self, caller: str, name: str) -> None:
+    def record_answer(self, caller: str, name: str) -> None:
         """Note that a request was answered: the next one like it is a new one."""
         self._come_back.pop((caller, name), None)
 
@@ -70,6 +70,6 @@
         known = self._callers.get(caller)
         if known is None:
             known = self._callers[caller] = _Caller()
-            if len(self._callers) > CALLERS_MOST:
+            if len(self._callers) > MAX_CALLERS:
                 self._callers.popitem(last=False)
         return known
--- a/dunlinsaddle/policy/retry.py
+++ b/dunlinsaddle/policy/retry.py
@@ -3,7 +3,7 @@
 from dunlinsaddle.errors import ErrorKind, Outcome
 
 
-class Allowance:
+class RetryAllowance:
     """The resends that this node may still spend or hand down for one root request.
 
     The root is given the record's bound. A hop hands part of what it holds down with a
@@ -21,21 +21,21 @@
         self.tokens -= 1
         return True
 
-    def hand_down(self) -> int:
+    def delegate(self) -> int:
         """Take the tokens that go down with one call: half, rounded up."""
         share = (self.tokens + 1) // 2
         self.tokens -= share
         return share
 
-    def give_back(self, handed: int, unspent: int) -> None:
+    def reclaim(self, handed: int, unspent: int) -> None:
         """Take back unspent tokens, never more than were handed down."""
         self.tokens += min(max(unspent, 0), handed)
 
 
-REFUSED_ELSEWHERE = frozenset({ErrorKind.DRAINING, ErrorKind.NO_TARGET})
+RESENDABLE_REFUSALS = frozenset({ErrorKind.DRAINING, ErrorKind.NO_TARGET})
 #: Refused by a node, before anything reached its target.
-REFUSED_BY_NODE = REFUSED_ELSEWHERE | {ErrorKind.OVERLOADED, ErrorKind.TOO_LATE_TO_START}
-LOST_ON_THE_WAY = frozenset(
+REFUSED_BY_NODE = RESENDABLE_REFUSALS | {ErrorKind.OVERLOADED, ErrorKind.TOO_LATE_TO_START}
+LOST_ANSWER_KINDS = frozenset(
     {ErrorKind.PEER_LOST, ErrorKind.TARGET_LOST, ErrorKind.INCOMPLETE_ANSWER}
 )
 
@@ -50,5 +50,5 @@
     if kind is None:
         return False
     if outcome is Outcome.NOT_RUN:
-        return kind in REFUSED_ELSEWHERE
-    return idempotent and kind in LOST_ON_THE_WAY
+        return kind in RESENDABLE_REFUSALS
+    return idempotent and kind in LOST_ANSWER_KINDS
--- a/dunlinsaddle/policy/retry_budget.py
+++ b/dunlinsaddle/policy/retry_budget.py
@@ -6,16 +6,16 @@
 from dunlinsaddle.policy.sliding import SlidingCount
 from dunlinsaddle.records.models import Rank
 
-BUCKETS = 10  #: parts of the window; a finer window would count more exactly and cost more
+WINDOW_SLOTS = 10  #: parts of the window; a finer window would count more exactly and cost more
 #: Share of the budget that is spent. The rest covers what a node cannot know: that other nodes'
 #: counts are of a slightly other window, and members that it has not heard of yet.
-OWN_SHARE = 0.8
+SPENDABLE_SHARE = 0.8
 #: Share of the budget that is kept from the least valued level, and in proportion from the others:
 #: what is scarce goes to the requests that are worth most, and to the same ones at all nodes.
-KEPT_SHARE = 0.5
+RESERVED_SHARE = 0.5
 #: Seconds over which the repeats that a rank asks for are averaged: a surge of failures has to be
 #: seen well before it has used up the budget, which it did in two seconds.
-WANTED_SECONDS = 1.0
+DEMAND_AVERAGE_SECONDS = 1.0
 
 
 class RetryBudget:
@@ -37,21 +37,21 @@
     """
 
     def __init__(self, ratio: float, extra: float, window: float) -> None:
-        self.take(ratio, extra)
+        self.set_limits(ratio, extra)
         self.window = window
-        self.nodes = 1  #: that share the budget; more than there are is on the safe side
+        self.node_count = 1  #: that share the budget; more than there are is on the safe side
         self._services: dict[str, _Window] = {}
 
-    def take(self, ratio: float, extra: float) -> None:
+    def set_limits(self, ratio: float, extra: float) -> None:
         """Take other bounds; what was counted stays."""
-        self.ratio = ratio * OWN_SHARE
-        self.extra = extra * OWN_SHARE
+        self.ratio = ratio * SPENDABLE_SHARE
+        self.extra = extra * SPENDABLE_SHARE
 
-    def sent(self, now: float, service: str) -> None:
+    def record_request(self, now: float, service: str) -> None:
         """Note the first send of a request."""
         self._of(service).add(now, sent=1, repeated=0)
 
-    def repeated(self, now: float, service: str) -> None:
+    def record_repeat(self, now: float, service: str) -> None:
         """Note a call that a repeated run makes; it is not refused for it."""
         self._of(service).add(now, sent=0, repeated=1)
 
@@ -60,7 +60,7 @@
         window = self._of(service)
         rank = level // SLOTS_PER_RANK
         window.wanted[rank].add(now)
-        kept = KEPT_SHARE * level / LOWEST_LEVEL
+        kept = RESERVED_SHARE * level / LOWEST_LEVEL
         reserved = self.window * sum(w.rate(now) for w in window.wanted[:rank])
         if window.repeated(now) + 1 > self.allowed(now, service) * (1 - kept) - reserved:
             return False
@@ -69,9 +69,9 @@
 
     def allowed(self, now: float, service: str) -> float:
         """Give the repeats that this node may send in the present window."""
-        return self.ratio * self._of(service).sent(now) + self.extra / max(self.nodes, 1)
+        return self.ratio * self._of(service).sent(now) + self.extra / max(self.node_count, 1)
 
-    def left(self, now: float) -> dict[str, float]:
+    def remaining(self, now: float) -> dict[str, float]:
         """Give the repeats that may still be sent now, by service."""
         return {
             name: max(self.allowed(now, name) - window.repeated(now), 0.0)
@@ -95,21 +95,21 @@
         self._at = 0.0
 
     def add(self, now: float) -> None:
-        self._count = self.rate(now) * WANTED_SECONDS + 1
+        self._count = self.rate(now) * DEMAND_AVERAGE_SECONDS + 1
         self._at = now
 
     def rate(self, now: float) -> float:
-        return self._count * exp((self._at - now) / WANTED_SECONDS) / WANTED_SECONDS
+        return self._count * exp((self._at - now) / DEMAND_AVERAGE_SECONDS) / DEMAND_AVERAGE_SECONDS
 
 
 class _Window:
     """What was sent and repeated in the last window, and what was sent in those before."""
 
     def __init__(self, seconds: float) -> None:
-        width = seconds / BUCKETS
+        width = seconds / WINDOW_SLOTS
         self.wanted = [_Wanted() for _ in Rank]
-        self._sent = SlidingCount(width, 2 * BUCKETS)
-        self._repeated = SlidingCount(width, BUCKETS)
+        self._sent = SlidingCount(width, 2 * WINDOW_SLOTS)
+        self._repeated = SlidingCount(width, WINDOW_SLOTS)
 
     def add(self, now: float, *, sent: int, repeated: int) -> None:
         self._sent.add(now, sent)
@@ -117,7 +117,10 @@
 
     def sent(self, now: float) -> int:
         """Give the most of the present window, the one before, and the one half before."""
-        return max(self._sent.total(now, BUCKETS, back) for back in (0, BUCKETS // 2, BUCKETS))
+        return max(
+            self._sent.total(now, WINDOW_SLOTS, back)
+            for back in (0, WINDOW_SLOTS // 2, WINDOW_SLOTS)
+        )
 
     def repeated(self, now: float) -> int:
-        return self._repeated.total(now, BUCKETS)
+        return self._repeated.total(now, WINDOW_SLOTS)
--- a/dunlinsaddle/policy/route.py
+++ b/dunlinsaddle/policy/route.py
@@ -9,30 +9,32 @@
 from dunlinsaddle.policy.pace import FORGET_SECONDS, Paces
 
 #: Calls in a row without an answer; one or two happen at a sound target that restarts.
-EJECT_AFTER = 3
-EJECT_SECONDS = 2.0  #: seconds; by judgement: a target that restarts is back after some
+CONSECUTIVE_FAILURES_TO_EJECT = 3
+BASE_EJECTION_SECONDS = 2.0  #: seconds; by judgement: a target that restarts is back after some
 #: Seconds; by judgement, so that a target that is back is found within half a minute.
-EJECT_SECONDS_MOST = 30.0
-EJECT_SHARE = 0.5  #: never leave out a larger share of a service's targets than this
-AVOID_SECONDS = 5.0  #: seconds; by then the news that it is leaving has reached every view
-FAR_FACTOR = 1.5  #: cost of another failure domain: a near target is left when it is half fuller
-PEER_FACTOR = 1.1  #: cost of another node's target in the same domain: one hop more
-ERROR_WEIGHT = 4.0  #: a target that fails every call costs five times as much; by judgement
-ERROR_DECAY = 0.9  #: what one call leaves of the share of errors: some ten calls count
+MAX_EJECTION_SECONDS = 30.0
+MAX_EJECTED_SHARE = 0.5  #: never leave out a larger share of a service's targets than this
+AVOID_LEAVING_SECONDS = 5.0  #: seconds; by then the news that it is leaving has reached every view
+OTHER_DOMAIN_COST_FACTOR = (
+    1.5  #: cost of another failure domain: a near target is left when it is half fuller
+)
+SAME_DOMAIN_COST_FACTOR = 1.1  #: cost of another node's target in the same domain: one hop more
+ERROR_COST_WEIGHT = 4.0  #: a target that fails every call costs five times as much; by judgement
+ERROR_SHARE_DECAY = 0.9  #: what one call leaves of the share of errors: some ten calls count
 #: Times that a target must take as long as another before that counts, its errors included.
 #: Targets of one service differ in speed by up to 2.3 by nature, and their load shows it well
 #: enough; errors weigh as much from four in ten calls.
-MUCH_WORSE = 2.5
+SLOW_TARGET_RATIO = 2.5
 #: What a target costs at least beside one that is so much better: as if four fifths of its slots
 #: were taken. By its load alone it is idle as long as it is passed over, and so is chosen again.
-WORSE_COST = 0.8
+MIN_SLOW_TARGET_COST = 0.8
 #: Seconds after which a rate is asked for anew at the latest, however small an entry's part of it.
 #: Among hundreds of entries that is some tens of calls a second, of which those that the target
 #: does not take go elsewhere.
-ASK_AGAIN_SECONDS = 10.0
+MAX_RATE_AGE_SECONDS = 10.0
 
 #: Lists of candidates that are held; a service has one at a time, and a deployment some hundred.
-LISTS_MOST = 512
+MAX_CACHED_LISTS = 512
 
 
 class Candidate(NamedTuple):
@@ -84,10 +86,12 @@
         self._judged_at = 0.0
 
     def judged(self, now: float, *, failed: bool) -> None:
-        self._errors = self.errors(now) * ERROR_DECAY + (1 - ERROR_DECAY if failed else 0)
+        self._errors = self.errors(now) * ERROR_SHARE_DECAY + (
+            1 - ERROR_SHARE_DECAY if failed else 0
+        )
         self._judged_at = now
 
-    def use_of_rate(self, now: float, entries: int) -> float:
+    def use_of_rate(self, now: float, sender_count: int) -> float:
         """Give the share of its rate that one more call would make used, as far as known.
 
         A target whose rate is used up is asked again by one call after the time in which one of
@@ -99,7 +103,7 @@
         if self.rate == inf:
             return 0.0
         age = now - self.rate_told_at
-        if not self.outstanding and age >= min(entries / self.rate, ASK_AGAIN_SECONDS):
+        if not self.outstanding and age >= min(sender_count / self.rate, MAX_RATE_AGE_SECONDS):
             return 0.0
         return self.rate_use + (self.load.waiting + self.outstanding + 1) / self.rate
 
@@ -131,7 +135,7 @@
         self.domain = domain
         self.rng = rng
         self.instance = instance
-        self.entries = 1  #: nodes that may send calls to the same targets
+        self.sender_count = 1  #: nodes that may send calls to the same targets
         self._seen: dict[str, _Seen] = {}
         self._paces = Paces()
         self._usables: dict[int, _Usable] = {}  #: by the identity of the list of candidates
@@ -154,27 +158,27 @@
         if first is second:
             # Drawn twice, a bad one would be compared with nobody. Usual ones may be: what is
             # known of their load is renewed so.
-            if self._of(first.instance).use_of_rate(now, self.entries) > 1:
+            if self._of(first.instance).use_of_rate(now, self.sender_count) > 1:
                 return min(usable, key=lambda c: self._cost(now, c))
             second = min(usable, key=lambda c: self._hardship(now, c))
-            if self._hardship(now, first) <= MUCH_WORSE * self._hardship(now, second):
+            if self._hardship(now, first) <= SLOW_TARGET_RATIO * self._hardship(now, second):
                 return first
         return self._better(now, first, second)
 
     def _better(self, now: float, first: Candidate, second: Candidate) -> Candidate:
         one, other = self._cost(now, first), self._cost(now, second)
         hard_one, hard_other = self._hardship(now, first), self._hardship(now, second)
-        if hard_one > MUCH_WORSE * hard_other:
-            one = max(one, WORSE_COST)
-        elif hard_other > MUCH_WORSE * hard_one:
-            other = max(other, WORSE_COST)
+        if hard_one > SLOW_TARGET_RATIO * hard_other:
+            one = max(one, MIN_SLOW_TARGET_COST)
+        elif hard_other > SLOW_TARGET_RATIO * hard_one:
+            other = max(other, MIN_SLOW_TARGET_COST)
         return first if one <= other else second
 
-    def sent(self, instance: str) -> None:
+    def record_sent(self, instance: str) -> None:
         """Note a call on its way."""
         self._of(instance).outstanding += 1
 
-    def answered(
+    def record_answer(
         self, now: float, instance: str, load: Load | None, *, error: bool = False
     ) -> None:
         """Note an answer and the load it brought; ``error`` for an answer of status 5xx.
@@ -192,20 +196,20 @@
         if load is not None:
             seen.load = load
 
-    def named_rate(self, now: float, instance: str, rate: float | None, use: float = 0.0) -> None:
+    def record_rate(self, now: float, instance: str, rate: float | None, use: float = 0.0) -> None:
         """Note the rate that a target names and the share of it that is used; None for none."""
         seen = self._of(instance)
         seen.rate = inf if rate is None else rate
         seen.rate_use = use
         seen.rate_told_at = now
 
-    def took(
+    def record_duration(
         self, now: float, instance: str, rule: str, seconds: float, *, whole: bool = True
     ) -> None:
         """Note how long a call took; unless ``whole``, its answer would have taken longer."""
         self._paces.took(now, instance, rule, seconds, whole=whole)
 
-    def failed(self, now: float, instance: str) -> None:
+    def record_failure(self, now: float, instance: str) -> None:
         """Note a call that got no answer.
 
         Failure: a target resets most calls at once, and answers one now and then, so that it is
@@ -216,15 +220,15 @@
         seen.outstanding -= 1
         seen.judged(now, failed=True)
         seen.failures += 1
-        if seen.failures < EJECT_AFTER:
+        if seen.failures < CONSECUTIVE_FAILURES_TO_EJECT:
             return
-        pause = min(EJECT_SECONDS * 2.0**seen.ejections, EJECT_SECONDS_MOST)
+        pause = min(BASE_EJECTION_SECONDS * 2.0**seen.ejections, MAX_EJECTION_SECONDS)
         seen.ejections += 1
         self._leave_out(seen, now + pause)
 
-    def avoid(self, now: float, instance: str) -> None:
+    def avoid_leaving(self, now: float, instance: str) -> None:
         """Leave a target out for a while that says it is leaving: the view is older than it."""
-        self._leave_out(self._of(instance), now + AVOID_SECONDS)
+        self._leave_out(self._of(instance), now + AVOID_LEAVING_SECONDS)
 
     def _leave_out(self, seen: _Seen, until: float) -> None:
         seen.avoid_until = until
@@ -236,7 +240,7 @@
         self._paces.forget(instance)
         self._left_out_changes += 1
 
-    def load_of(self, instance: str) -> Load:
+    def latest_load(self, instance: str) -> Load:
         """Give the load that a target's latest answer told of."""
         seen = self._seen.get(instance)
         return seen.load if seen else Load()
@@ -264,7 +268,7 @@
         held = self._usables.get(id(candidates))
         if held is not None and held.holds(now, candidates, self._left_out_changes):
             return held
-        if len(self._usables) >= LISTS_MOST:
+        if len(self._usables) >= MAX_CACHED_LISTS:
             self._usables.clear()
         ends = [self._of(c.instance).avoid_until for c in candidates]
         until = min((end for end in ends if end > now), default=inf)
@@ -284,7 +288,7 @@
         ejecting them would push all load onto the few that are left.
         """
         good = [c for c in left if not c.suspect and self._of(c.instance).avoid_until <= now]
-        fewest = len(left) * (1 - EJECT_SHARE)
+        fewest = len(left) * (1 - MAX_EJECTED_SHARE)
         if good and len(good) >= fewest:
             return good
         ordered = sorted(left, key=lambda c: (c.suspect, self._of(c.instance).avoid_until))
@@ -293,7 +297,7 @@
     def _hardship(self, now: float, candidate: Candidate) -> float:
         """Give how long a call takes there, as a share of the mean, tries that fail included."""
         errors = self._of(candidate.instance).errors(now)
-        return self._paces.of(now, candidate.instance) * (1 + ERROR_WEIGHT * errors)
+        return self._paces.of(now, candidate.instance) * (1 + ERROR_COST_WEIGHT * errors)
 
     def _of(self, instance: str) -> _Seen:
         seen = self._seen.get(instance)
@@ -305,8 +309,10 @@
         seen = self._of(candidate.instance)
         load = seen.load
         cost = (max(load.inflight, seen.outstanding) + load.waiting + 1) / max(load.limit, 1)
-        cost = max(cost, seen.use_of_rate(now, self.entries))
-        cost *= 1 + ERROR_WEIGHT * seen.errors(now)
+        cost = max(cost, seen.use_of_rate(now, self.sender_count))
+        cost *= 1 + ERROR_COST_WEIGHT * seen.errors(now)
         if candidate.instance == self.instance:
             return cost
-        return cost * (PEER_FACTOR if candidate.domain == self.domain else FAR_FACTOR)
+        return cost * (
+            SAME_DOMAIN_COST_FACTOR if candidate.domain == self.domain else OTHER_DOMAIN_COST_FACTOR
+        )
--- a/dunlinsaddle/replay/current_node.py
+++ b/dunlinsaddle/replay/current_node.py
@@ -5,10 +5,10 @@
     AdmissionPolicy,
     Load,
 )
-from dunlinsaddle.policy.callers import ResendGuard
 from dunlinsaddle.policy.level import ChainLevels
-from dunlinsaddle.policy.quarantine import DEATHS_MOST, Barred, Quarantine
-from dunlinsaddle.policy.retry import Allowance, may_resend
+from dunlinsaddle.policy.quarantine import DEATHS_TO_QUARANTINE, Quarantine, Quarantined
+from dunlinsaddle.policy.resend_guard import ResendGuard
+from dunlinsaddle.policy.retry import RetryAllowance, may_resend
 from dunlinsaddle.policy.route import Candidate, Router
 from dunlinsaddle.replay.attempt import ENTRY, Answer, Attempt, Parent, refused
 from dunlinsaddle.replay.events import Process
@@ -34,7 +34,7 @@
         self.guard = ResendGuard()
         self.quarantine = Quarantine()
 
-    def enter(self, attempt: Attempt, call: Call, allowance: Allowance) -> Process:
+    def enter(self, attempt: Attempt, call: Call, allowance: RetryAllowance) -> Process:
         """Let early resends through only up to the record's ratio."""
         now, name = self.fleet.loop.now, str(attempt.fingerprint)
         record = self.fleet.records[call.service]
@@ -50,32 +50,32 @@
         answer: Answer = yield from self.dispatch(attempt, call, allowance)
         now = self.fleet.loop.now
         if answer.failure is None:
-            self.guard.answered(attempt.caller, name)
+            self.guard.record_answer(attempt.caller, name)
         elif answer.failure.retry_after > 0:
             wait = answer.failure.retry_after
-            self.guard.refused(now, attempt.caller, name, wait)
+            self.guard.record_refusal(now, attempt.caller, name, wait)
         return answer
 
     def _bar(self, attempt: Attempt) -> Failure | None:
-        self.quarantine.hear(self.fleet.loop.now, attempt.fingerprint, attempt.deaths)
-        match self.quarantine.standing(self.fleet.loop.now, attempt.fingerprint):
-            case Barred(failure):
+        self.quarantine.merge_deaths(self.fleet.loop.now, attempt.fingerprint, attempt.deaths)
+        match self.quarantine.check(self.fleet.loop.now, attempt.fingerprint):
+            case Quarantined(failure):
                 return failure
         return None
 
     def _mourn(self, attempt: Attempt) -> None:
         now = self.fleet.loop.now
-        attempt.deaths = self.quarantine.died(now, attempt.fingerprint)
+        attempt.deaths = self.quarantine.record_death(now, attempt.fingerprint)
         self.fleet.loop.call_at(now + VIEW_LAG, self._tell, attempt.fingerprint, attempt.deaths)
 
     def _tell(self, fingerprint: int, deaths: int) -> None:
         for nodes in self.fleet.nodes.values():
             for node in nodes:
                 if isinstance(node, CurrentNode):
-                    node.quarantine.hear(self.fleet.loop.now, fingerprint, deaths)
+                    node.quarantine.merge_deaths(self.fleet.loop.now, fingerprint, deaths)
 
     def dispatch(
-        self, attempt: Attempt, call: Call, allowance: Allowance, parent: Parent = ENTRY
+        self, attempt: Attempt, call: Call, allowance: RetryAllowance, parent: Parent = ENTRY
     ) -> Process:
         """Refuse early what deeper hops would refuse, else send with the shared allowance."""
         loop = self.fleet.loop
@@ -98,7 +98,7 @@
             answer = yield from self._try(
                 attempt, call, allowance, listed[chosen.instance], parent.hop
             )
-            if attempt.deaths >= DEATHS_MOST:
+            if attempt.deaths >= DEATHS_TO_QUARANTINE:
                 return answer
             idempotent = self.fleet.idempotent(call.service, call.rule)
             if not may_resend(answer.kind, answer.outcome, idempotent=idempotent):
@@ -122,23 +122,23 @@
         self,
         attempt: Attempt,
         call: Call,
-        allowance: Allowance,
+        allowance: RetryAllowance,
         node: FakeNode,
         hop: int,
     ) -> Process:
         name = node.instance.instance
-        handed = allowance.hand_down()
-        held = Allowance(handed)
-        self.router.sent(name)
+        handed = allowance.delegate()
+        held = RetryAllowance(handed)
+        self.router.record_sent(name)
         answer: Answer = yield from self._send(node, attempt, call, held, hop)
         if answer.kind in (ErrorKind.PEER_LOST, ErrorKind.NO_TARGET):
-            self.router.failed(self.fleet.loop.now, name)
+            self.router.record_failure(self.fleet.loop.now, name)
         else:
-            self.router.answered(self.fleet.loop.now, name, answer.load)
+            self.router.record_answer(self.fleet.loop.now, name, answer.load)
             if self.levels is not None and answer.load is not None:
                 self.levels.learn(self.fleet.loop.now, call.service, call.rule, answer.load.heard)
         if answer.kind is not ErrorKind.PEER_LOST:
-            allowance.give_back(handed, held.tokens)
+            allowance.reclaim(handed, held.tokens)
         return answer
 
     def _load(self, call: Call) -> Load:
--- a/dunlinsaddle/replay/naive_node.py
+++ b/dunlinsaddle/replay/naive_node.py
@@ -2,7 +2,7 @@
 
 from dunlinsaddle.errors import ErrorKind
 from dunlinsaddle.policy.naive import RETRIES_PER_HOP
-from dunlinsaddle.policy.retry import Allowance
+from dunlinsaddle.policy.retry import RetryAllowance
 from dunlinsaddle.replay.attempt import ENTRY, Attempt, Parent, refused
 from dunlinsaddle.replay.events import Process, Waiter
 from dunlinsaddle.replay.nodes import FakeNode
@@ -13,7 +13,7 @@
     """A node that tries each call four times at each hop, with a timer of its own."""
 
     def dispatch(
-        self, attempt: Attempt, call: Call, allowance: Allowance, parent: Parent = ENTRY
+        self, attempt: Attempt, call: Call, allowance: RetryAllowance, parent: Parent = ENTRY
     ) -> Process:
         """Try up to three more targets, whatever the failure was."""
         loop = self.fleet.loop
@@ -37,7 +37,7 @@
     def _answer(
         self, waiter: Waiter, node: FakeNode, attempt: Attempt, call: Call, hop: int
     ) -> Process:
-        answer = yield from self._send(node, attempt, call, Allowance(0), hop)
+        answer = yield from self._send(node, attempt, call, RetryAllowance(0), hop)
         waiter.resolve(answer)
 
     def _give_up(self, attempt: Attempt) -> float:
--- a/dunlinsaddle/replay/nodes.py
+++ b/dunlinsaddle/replay/nodes.py
@@ -13,7 +13,7 @@
     Ticket,
     Wait,
 )
-from dunlinsaddle.policy.retry import Allowance
+from dunlinsaddle.policy.retry import RetryAllowance
 from dunlinsaddle.policy.route import Candidate, Router
 from dunlinsaddle.records.models import ServiceRecord
 from dunlinsaddle.replay.attempt import ENTRY, Answer, Attempt, Parent, refused
@@ -56,12 +56,12 @@
         self._waiting: dict[int, Waiter] = {}
         self._tickets = 0
 
-    def enter(self, attempt: Attempt, call: Call, allowance: Allowance) -> Process:
+    def enter(self, attempt: Attempt, call: Call, allowance: RetryAllowance) -> Process:
         """Take a request of a caller."""
         return (yield from self.dispatch(attempt, call, allowance))
 
     def dispatch(
-        self, attempt: Attempt, call: Call, allowance: Allowance, parent: Parent = ENTRY
+        self, attempt: Attempt, call: Call, allowance: RetryAllowance, parent: Parent = ENTRY
     ) -> Process:
         """Send a call to targets of its service until one answer is final."""
         raise NotImplementedError
@@ -73,7 +73,9 @@
     def _mourn(self, attempt: Attempt) -> None:
         """Note that the target died while it ran a request."""
 
-    def execute(self, attempt: Attempt, call: Call, allowance: Allowance, hop: int = 0) -> Process:
+    def execute(
+        self, attempt: Attempt, call: Call, allowance: RetryAllowance, hop: int = 0
+    ) -> Process:
         """Run a call at the local target, or refuse it."""
         loop = self.fleet.loop
         if not self.target.up:
@@ -116,7 +118,9 @@
         if isinstance(self.admission, Admission):
             self.admission.restarted(self.fleet.loop.now)
 
-    def _run(self, attempt: Attempt, call: Call, allowance: Allowance, ticket: Ticket) -> Process:
+    def _run(
+        self, attempt: Attempt, call: Call, allowance: RetryAllowance, ticket: Ticket
+    ) -> Process:
         loop, life = self.fleet.loop, self.target.deaths
         if not self.target.accepts():
             self._finish(ticket, Sample(call.rule, 0.0, completed=False))
@@ -154,7 +158,7 @@
         return answer._replace(load=self._load(call))
 
     def _call_others(
-        self, attempt: Attempt, call: Call, allowance: Allowance, parent: Parent
+        self, attempt: Attempt, call: Call, allowance: RetryAllowance, parent: Parent
     ) -> Process:
         for child in call.calls:
             answer: Answer = yield from self.dispatch(attempt, child, allowance, parent)
@@ -194,7 +198,7 @@
         other: 'FakeNode',
         attempt: Attempt,
         call: Call,
-        handed: Allowance,
+        handed: RetryAllowance,
         hop: int,
     ) -> Process:
         """Hand a call to another node and bring its answer back; lost when cut off."""
--- a/dunlinsaddle/replay/run.py
+++ b/dunlinsaddle/replay/run.py
@@ -8,7 +8,7 @@
 from dunlinsaddle.policy.context import SLOTS_PER_RANK, Priority
 from dunlinsaddle.policy.level import ChainLevels
 from dunlinsaddle.policy.naive import FixedLimit
-from dunlinsaddle.policy.retry import Allowance
+from dunlinsaddle.policy.retry import RetryAllowance
 from dunlinsaddle.policy.route import Candidate, Router
 from dunlinsaddle.records.models import Rank
 from dunlinsaddle.replay.attempt import Answer, Attempt
@@ -148,7 +148,7 @@
         while not entry.listed:
             entry = self.rng.choice(self.entries)
         yield self.trace.header.clients
-        allowance = Allowance(self.trace.records[call.service].retry_bound)
+        allowance = RetryAllowance(self.trace.records[call.service].retry_bound)
         answer: Answer = yield from entry.enter(attempt, call, allowance)
         yield self.trace.header.clients
         late = self.loop.now > attempt.deadline
--- a/standins/latency.py
+++ b/standins/latency.py
@@ -16,7 +16,7 @@
 import msgspec
 from hdrh.histogram import HdrHistogram
 
-from dunlinsaddle.policy.keys import mint_key
+from dunlinsaddle.policy.keys import generate_key
 from dunlinsaddle.settings import Address, read_address
 from standins.caller import Caller
 from standins.demo import operate, say, wait_until_served
@@ -73,7 +73,7 @@
 
 def new_key() -> str:
     """Make a key as a caller does."""
-    return mint_key(int(time.time() * 1000), RNG, 'templates').text
+    return generate_key(int(time.time() * 1000), RNG, 'templates').text
 
 
 async def send_paced(caller: Caller, way: Way, rate: float, count: int, into: Measured) -> None:
--- a/standins/once_cost.py
+++ b/standins/once_cost.py
@@ -9,9 +9,15 @@
 
 from dunlinsaddle.calls.messages import Reply
 from dunlinsaddle.errors import Outcome
-from dunlinsaddle.policy.keys import BornKey, mint_key, parse_key, range_of
-from dunlinsaddle.policy.once_table import KeyTable
-from dunlinsaddle.policy.ownership import Owner, RangeMap, Situation, encode_map, plan_ranges
+from dunlinsaddle.policy.key_table import KeyTable
+from dunlinsaddle.policy.keys import TimestampedKey, generate_key, parse_key, range_number
+from dunlinsaddle.policy.ownership import (
+    Owner,
+    PlanContext,
+    RangeMap,
+    encode_range_map,
+    plan_ranges,
+)
 
 KEYS = 40_000
 BODY = b'x' * 200
@@ -24,11 +30,11 @@
     began = time.perf_counter()
     for text in texts:
         key = parse_key(text).unwrap()
-        assert isinstance(key, BornKey)
-        range_of('cut-orders', key)
-        if table.look(key.text, 7) is None:
+        assert isinstance(key, TimestampedKey)
+        range_number('cut-orders', key)
+        if table.lookup(key.text, 7) is None:
             table.begin(key.text, key.birth, 7, NOW)
-            table.done(key.text, Reply(0, 200, [], BODY + b'.', Outcome.DONE), len(BODY))
+            table.complete(key.text, Reply(0, 200, [], BODY + b'.', Outcome.DONE), len(BODY))
     return table, (time.perf_counter() - began) / len(texts) * 1e6
 
 
@@ -37,20 +43,20 @@
     names = [f'instance-{number}' for number in range(instances)]
     ranges = RangeMap()
     for name in names:
-        here = Situation(Owner(name, f'{name:0>12}'), names, NOW, {})
+        here = PlanContext(Owner(name, f'{name:0>12}'), names, NOW, {})
         planned = plan_ranges('cut-orders', ranges, here)
-        ranges = planned.map if planned else ranges
+        ranges = planned.range_map if planned else ranges
     began = time.perf_counter()
     for _ in range(100):
-        plan_ranges('cut-orders', ranges, Situation(Owner(names[0], 'e'), names, NOW, {}))
+        plan_ranges('cut-orders', ranges, PlanContext(Owner(names[0], 'e'), names, NOW, {}))
     elapsed = (time.perf_counter() - began) / 100 * 1e6
-    return len(msgspec.json.encode(encode_map(ranges))), elapsed
+    return len(msgspec.json.encode(encode_range_map(ranges))), elapsed
 
 
 def main() -> None:
     """Print the figures."""
     rng = Random(1)
-    texts = [mint_key(NOW, rng, 'cut-orders').text for _ in range(KEYS)]
+    texts = [generate_key(NOW, rng, 'cut-orders').text for _ in range(KEYS)]
     _, micros = decide(texts)
     tracemalloc.start()
     held, _ = decide(texts)
--- a/standins/stages.py
+++ b/standins/stages.py
@@ -126,8 +126,8 @@
     def route() -> None:
         chosen = router.choose(now, candidates)
         assert chosen is not None
-        router.sent(chosen.instance)
-        router.answered(now, chosen.instance, None)
+        router.record_sent(chosen.instance)
+        router.record_answer(now, chosen.instance, None)
 
     return {
         'decide: admit, finish, load': admit,
--- a/tests/builders.py
+++ b/tests/builders.py
@@ -21,7 +21,7 @@
 from dunlinsaddle.policy.admission import Ticket
 from dunlinsaddle.policy.context import CallContext, Priority
 from dunlinsaddle.policy.limit import AdaptiveLimit
-from dunlinsaddle.policy.retry import Allowance
+from dunlinsaddle.policy.retry import RetryAllowance
 from dunlinsaddle.records.book import RecordBook
 from dunlinsaddle.records.changes import Change
 from dunlinsaddle.records.models import Rank, RequestRule, ServiceRecord
@@ -171,7 +171,7 @@
         key='',
         fingerprint=1,
     )
-    return Work(ctx._replace(**changes), 'GET', '/orders/1', [], b'', Allowance(tokens))
+    return Work(ctx._replace(**changes), 'GET', '/orders/1', [], b'', RetryAllowance(tokens))
 
 
 def build_call(call_id: int = 1, **changes: Any) -> Call:
--- a/tests/fakes/deep_load.py
+++ b/tests/fakes/deep_load.py
@@ -148,7 +148,7 @@
         count = round(usual * WINDOW / len(DOMAINS))
         for index in range(count):
             # Spread over the window: sent in one moment, they would count beside those of the run.
-            budget.sent(index / count * WINDOW - WINDOW, 'deep')
+            budget.record_request(index / count * WINDOW - WINDOW, 'deep')
         return budget
 
     def run(self) -> dict[str, Share]:
@@ -264,7 +264,7 @@
         gone = self.pattern.lost if self.unusual else 0
         candidates = [t.candidate for t in list(self.targets.values())[gone:]]
         router = caller.router
-        caller.budget.sent(self.now, 'deep')
+        caller.budget.record_request(self.now, 'deep')
         turned_away = 0
         tried: set[str] = set()
         heard: list[Load] = []
@@ -274,7 +274,7 @@
             assert chosen is not None
             tried.add(chosen.instance)
             target = self.targets[chosen.instance]
-            router.sent(chosen.instance)
+            router.record_sent(chosen.instance)
             yield LINK
             ticket = build_ticket(
                 next(self.numbers),
@@ -291,7 +291,7 @@
                 away = yield from self._run(target, ticket, one)
             yield LINK
             heard.append(target.admission.load(self.now))
-            router.answered(self.now, chosen.instance, heard[-1], error=away)
+            router.record_answer(self.now, chosen.instance, heard[-1], error=away)
             if away:
                 again = 0.5
                 turned_away += 1
--- a/tests/fakes/lenders.py
+++ b/tests/fakes/lenders.py
@@ -9,7 +9,7 @@
 
 from dunlinsaddle.access.quotas import Quotas
 from dunlinsaddle.membership.messages import QuotaMessage
-from dunlinsaddle.policy.quota import Ledger
+from dunlinsaddle.policy.quota import QuotaLedger
 from dunlinsaddle.routes.models import Organisation, Quota
 from dunlinsaddle.settings import Address
 
@@ -62,7 +62,7 @@
         return asyncio.get_running_loop().time()
 
     def _make(self, name: str) -> None:
-        ledger = Ledger(SLACK, WINDOW, OVERAGE)
+        ledger = QuotaLedger(SLACK, WINDOW, OVERAGE)
         node = Quotas(name, FakePeers(self, name), ledger, self.organisations.get)
         self.nodes[name] = node
         node.members_change()
--- a/tests/fakes/rated_load.py
+++ b/tests/fakes/rated_load.py
@@ -58,7 +58,7 @@
         self.candidates = [target.candidate for target in targets]
         self.routers = [Router(f'd{n % DOMAINS}', Random(seed + n)) for n in range(entries)]
         for router in self.routers:
-            router.entries = entries
+            router.sender_count = entries
         self.ended: Counter[str] = Counter()
         self.seconds: list[float] = []
         self._calls: dict[int, Out] = {}
@@ -81,7 +81,7 @@
         if chosen is None or len(out.tried) == TRIES:
             self.ended['refused'] += 1
             return
-        out.router.sent(chosen.instance)
+        out.router.record_sent(chosen.instance)
         target = self.targets[chosen.instance]
         self.at(self.now + WAY, lambda: self._arrive(target, out))
 
@@ -125,8 +125,8 @@
 
         def heard() -> None:
             name = target.candidate.instance
-            out.router.answered(self.now, name, load)
-            out.router.named_rate(self.now, name, rate, use)
+            out.router.record_answer(self.now, name, load)
+            out.router.record_rate(self.now, name, rate, use)
             then()
 
         self.at(self.now + WAY, heard)
--- a/tests/once_cluster.py
+++ b/tests/once_cluster.py
@@ -17,8 +17,8 @@
 from dunlinsaddle.membership.view import Member, MemberView, State
 from dunlinsaddle.once.keeper import RangeKeeper, SteadyClock
 from dunlinsaddle.platform.store import StoredObject, Unavailable
-from dunlinsaddle.policy.keys import mint_key, parse_key, range_of
-from dunlinsaddle.policy.ownership import Owner, Place, decode_map
+from dunlinsaddle.policy.keys import generate_key, parse_key, range_number
+from dunlinsaddle.policy.ownership import ListenerIdentity, Owner, decode_range_map
 from dunlinsaddle.policy.route import Router
 from dunlinsaddle.settings import Address
 from dunlinsaddle.stats import Stats
@@ -61,7 +61,7 @@
         clock = SteadyClock(lambda: wall)
         rng = Random(sum(name.encode()))
         self.keeper = RangeKeeper(cluster.store, Owner(name, epoch), clock.now, rng)
-        self.keeper.place = Place(f'{name} at {cluster.moves[name]}', clock.zero())
+        self.keeper.place = ListenerIdentity(f'{name} at {cluster.moves[name]}', clock.zero())
         self.view = MemberView()
         self.refuses: ErrorKind | None = None
         self.fails: ErrorKind | None = None
@@ -214,13 +214,13 @@
 
     def mint(self, skew_ms: int = 0) -> str:
         now = EPOCH_MS + int(asyncio.get_running_loop().time() * 1000)
-        return mint_key(now + skew_ms, self.rng, SERVICE).text
+        return generate_key(now + skew_ms, self.rng, SERVICE).text
 
     def owner(self, key: str) -> Process:
         """Give the node that the platform's map names for a key."""
         stored: StoredObject = self.store.objects['ranges', SERVICE]
         born: Any = parse_key(key).unwrap()
-        interval = decode_map(stored.value).find(range_of(SERVICE, born), born.birth)
+        interval = decode_range_map(stored.value).find(range_number(SERVICE, born), born.birth)
         assert interval is not None
         return self.nodes[interval.owner.instance]
 
--- a/tests/test_at_size.py
+++ b/tests/test_at_size.py
@@ -95,7 +95,7 @@
         # What is kept between choices must not outlive what it was worked out from.
         router, found = Router('d0', Random(3)), self.candidates(40)
         router.choose(0.0, found)
-        router.avoid(0.0, 'n000')
+        router.avoid_leaving(0.0, 'n000')
         soon = {router.choose(0.1, found).instance for _ in range(2000)}
         later = {router.choose(60.0, found).instance for _ in range(2000)}
         self.assertNotIn('n000', soon)
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -13,7 +13,7 @@
 from dunlinsaddle.membership.view import MemberView
 from dunlinsaddle.policy.admission import Admission
 from dunlinsaddle.policy.level import Heard
-from dunlinsaddle.policy.quarantine import Barred, Quarantine
+from dunlinsaddle.policy.quarantine import Quarantine, Quarantined
 from dunlinsaddle.policy.route import Router
 from dunlinsaddle.settings import Address
 from dunlinsaddle.stats import Stats
@@ -201,7 +201,7 @@
         self.assertEqual(Outcome.UNKNOWN, reply.outcome)
         self.assertEqual(2, len(links.calls))
         self.assertEqual(1, links.calls[1].deaths)
-        self.assertIsInstance(quarantine.standing(0.1, links.calls[0].fingerprint), Barred)
+        self.assertIsInstance(quarantine.check(0.1, links.calls[0].fingerprint), Quarantined)
 
 
 class ExecuteTest(PausedClockTest):
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -15,8 +15,8 @@
     def explain(self, question: Question, members=(), load: Load | None = None, **changes):
         router = Router('bangor-hall', Random(1))
         for member in members:
-            router.sent(member.instance)
-            router.answered(0.0, member.instance, load)
+            router.record_sent(member.instance)
+            router.record_answer(0.0, member.instance, load)
         return explain(question, build_record(), members, router, 0.0, **changes)
 
     def test_names_the_rule_and_what_it_is_worth(self):
--- a/tests/test_once_processes.py
+++ b/tests/test_once_processes.py
@@ -12,8 +12,8 @@
 from testtools.content import text_content
 
 from dunlinsaddle.calls.http import HttpResponse
-from dunlinsaddle.policy.keys import RANGES, mint_key
-from dunlinsaddle.policy.ownership import decode_map
+from dunlinsaddle.policy.keys import RANGE_COUNT, generate_key
+from dunlinsaddle.policy.ownership import decode_range_map
 from dunlinsaddle.settings import read_address
 from standins.caller import Caller
 from standins.fleet import TargetSpec
@@ -51,13 +51,17 @@
         stored = await self.fetch(self.fleet.platform, '/objects/ranges/cut-orders')
         if not stored:
             return []
-        return [row[-1].owner.instance for row in decode_map(stored['specification']).ranges if row]
+        return [
+            row[-1].owner.instance
+            for row in decode_range_map(stored['specification']).ranges
+            if row
+        ]
 
     async def ranges_shared(self, names: Collection[str]) -> None:
         deadline = time.monotonic() + PATIENCE
         while time.monotonic() < deadline:
             owners = await self.owners()
-            if len(owners) == RANGES and set(owners) == set(names):
+            if len(owners) == RANGE_COUNT and set(owners) == set(names):
                 return
             await asyncio.sleep(0.2)
         raise AssertionError(f'ranges after {PATIENCE} s: {Counter(owners)}')
@@ -70,7 +74,7 @@
 
     async def mint(self, owner: str) -> str:
         wanted = [n for n, name in enumerate(await self.owners()) if name == owner]
-        return mint_key(int(time.time() * 1000), self.rng, 'cut-orders', wanted).text
+        return generate_key(int(time.time() * 1000), self.rng, 'cut-orders', wanted).text
 
     async def fetch_key(self, entry: str) -> str:
         address = read_address(self.fleet.placed[entry].faces['callers'])
@@ -138,7 +142,7 @@
         deadline = time.monotonic() + PATIENCE
         while time.monotonic() < deadline:
             stored = await self.fetch(self.fleet.platform, '/objects/ranges/cut-orders')
-            rows = decode_map(stored['specification']).ranges
+            rows = decode_range_map(stored['specification']).ranges
             epochs = {i.owner.epoch for row in rows for i in row if i.owner.instance == name}
             if len(epochs) == 2:
                 break
@@ -212,7 +216,7 @@
 
     async def send_new_keys(self, sent: 'dict[str, asyncio.Task[HttpResponse | None]]') -> None:
         while True:
-            key = mint_key(int(time.time() * 1000), self.rng, 'cut-orders').text
+            key = generate_key(int(time.time() * 1000), self.rng, 'cut-orders').text
             entry = self.rng.choice(list(DOMAINS))
             sent[key] = asyncio.create_task(self.send(entry, key))
             await asyncio.sleep(0.06)
--- a/tests/test_organisations.py
+++ b/tests/test_organisations.py
@@ -242,7 +242,7 @@
                 mesh.nodes[name].target.withdraw()
             refused = await self.flood(mesh, 6)
             await asyncio.sleep(0.1)
-            tokens = [node.ledger.tokens().get('acme') for node in mesh.nodes.values()]
+            tokens = [node.ledger.tokens_left().get('acme') for node in mesh.nodes.values()]
             return {a.status for a in refused}, max(t for t in tokens if t is not None)
 
         statuses, tokens = self.quota_mesh(scenario)
--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -7,7 +7,7 @@
 from result import Ok
 from testtools import TestCase
 
-from dunlinsaddle.policy.quota import Later, Ledger, Lent, Ring
+from dunlinsaddle.policy.quota import Granted, HashRing, QuotaLedger, RetryLater
 from dunlinsaddle.routes.models import Organisation, Quota
 from tests.clock import PausedClockTest
 from tests.fakes.lenders import SLACK, WINDOW, LendingFleet, most_within, organisation
@@ -165,48 +165,48 @@
 
 class LedgerTest(TestCase):
     def test_a_new_lender_begins_nearly_empty(self):
-        ledger = Ledger(SLACK, WINDOW)
-        ledger.begin(100.0, [])
+        ledger = QuotaLedger(SLACK, WINDOW)
+        ledger.reset(100.0, [])
         quota = Quota(10.0, 50.0)
-        lent = [ledger.take(100.0, 'a', quota, first=True) for _ in range(10)]
-        self.assertEqual(2, lent.count(Lent()))
+        lent = [ledger.take(100.0, 'a', quota, is_first_lender=True) for _ in range(10)]
+        self.assertEqual(2, lent.count(Granted()))
 
     def test_one_that_kept_its_bucket_goes_on(self):
-        ledger = Ledger(SLACK, WINDOW)
+        ledger = QuotaLedger(SLACK, WINDOW)
         quota = Quota(10.0, 50.0)
-        ledger.take(100.0, 'a', quota, first=True)
-        ledger.begin(100.0, ['a'])
-        lent = [ledger.take(100.0, 'a', quota, first=True) for _ in range(25)]
-        self.assertEqual(25, lent.count(Lent()))
+        ledger.take(100.0, 'a', quota, is_first_lender=True)
+        ledger.reset(100.0, ['a'])
+        lent = [ledger.take(100.0, 'a', quota, is_first_lender=True) for _ in range(25)]
+        self.assertEqual(25, lent.count(Granted()))
 
     def test_what_did_not_run_is_given_back(self):
-        ledger = Ledger(0.0, WINDOW)
-        ledger.begin(0.0, [])
+        ledger = QuotaLedger(0.0, WINDOW)
+        ledger.reset(0.0, [])
         quota = Quota(1.0, 1.0)
-        ledger.take(10.0, 'a', quota, first=True)
-        self.assertIsInstance(ledger.take(10.0, 'a', quota, first=True), Later)
-        ledger.give_back('a')
-        self.assertEqual(Lent(), ledger.take(10.0, 'a', quota, first=True))
+        ledger.take(10.0, 'a', quota, is_first_lender=True)
+        self.assertIsInstance(ledger.take(10.0, 'a', quota, is_first_lender=True), RetryLater)
+        ledger.refund('a')
+        self.assertEqual(Granted(), ledger.take(10.0, 'a', quota, is_first_lender=True))
 
     def test_those_told_to_come_back_are_spread_over_the_refill(self):
-        ledger = Ledger(0.0, WINDOW)
-        ledger.begin(0.0, [])
+        ledger = QuotaLedger(0.0, WINDOW)
+        ledger.reset(0.0, [])
         quota = Quota(10.0, 1.0)
-        ledger.take(0.1, 'a', quota, first=True)
-        waits = [ledger.take(0.1, 'a', quota, first=True).seconds for _ in range(3)]
+        ledger.take(0.1, 'a', quota, is_first_lender=True)
+        waits = [ledger.take(0.1, 'a', quota, is_first_lender=True).seconds for _ in range(3)]
         self.assertEqual([0.1, 0.2, 0.3], [round(w, 3) for w in waits])
 
     def test_a_lower_limit_binds_at_once(self):
-        ledger = Ledger(0.0, WINDOW)
-        ledger.begin(0.0, [])
-        ledger.take(100.0, 'a', Quota(100.0, 100.0), first=True)
-        lent = [ledger.take(100.0, 'a', Quota(1.0, 4.0), first=True) for _ in range(10)]
-        self.assertEqual(2, lent.count(Lent()))
+        ledger = QuotaLedger(0.0, WINDOW)
+        ledger.reset(0.0, [])
+        ledger.take(100.0, 'a', Quota(100.0, 100.0), is_first_lender=True)
+        lent = [ledger.take(100.0, 'a', Quota(1.0, 4.0), is_first_lender=True) for _ in range(10)]
+        self.assertEqual(2, lent.count(Granted()))
 
 
 class RingTest(TestCase):
     def test_organisations_are_spread_over_the_nodes(self):
-        ring = Ring()
+        ring = HashRing()
         ring.update(f'n{i}' for i in range(82))
         first = [ring.lenders(f'org{i}')[0] for i in range(8200)]
         most = max(first.count(name) for name in set(first))
@@ -214,7 +214,7 @@
         self.assertEqual(3, len(set(ring.lenders('org1'))))
 
     def test_a_node_that_goes_moves_only_its_own(self):
-        ring = Ring()
+        ring = HashRing()
         names = {f'n{i}' for i in range(20)}
         ring.update(names)
         before = {org: ring.lenders(org) for org in map(str, range(500))}
@@ -226,7 +226,7 @@
                 self.assertEqual(lenders[1], ring.lenders(org)[0])
 
     def test_nobody_there(self):
-        self.assertEqual([], Ring().lenders('a'))
+        self.assertEqual([], HashRing().lenders('a'))
 
 
 class MostWithinTest(TestCase):
--- a/tests/test_callers.py
+++ b/tests/test_resend_guard.py
@@ -1,7 +1,7 @@
 from testtools import TestCase
 
 from dunlinsaddle.errors import ErrorKind
-from dunlinsaddle.policy.callers import BURST, ResendGuard
+from dunlinsaddle.policy.resend_guard import BURST, ResendGuard
 from dunlinsaddle.records.models import Rank
 
 
@@ -19,7 +19,7 @@
             now = number * 0.01
             if self.check(now, rank=rank) is None:
                 passed += 1
-            self.guard.refused(now, 'tablet', 'one', retry_after=100.0)
+            self.guard.record_refusal(now, 'tablet', 'one', retry_after=100.0)
         return passed
 
     def test_caller_that_asks_again_at_once_is_refused_at_the_entry(self):
--- a/tests/test_retry.py
+++ b/tests/test_retry.py
@@ -5,7 +5,7 @@
 from testtools import TestCase
 
 from dunlinsaddle.errors import ErrorKind, Outcome
-from dunlinsaddle.policy.retry import Allowance, may_resend
+from dunlinsaddle.policy.retry import RetryAllowance, may_resend
 
 
 class _Chain:
@@ -17,20 +17,20 @@
         self.rng = Random(seed)
         self.resends = 0
 
-    def serve(self, allowance: Allowance, hop: int) -> None:
+    def serve(self, allowance: RetryAllowance, hop: int) -> None:
         for _ in range(self.fan_out if hop < self.depth else 0):
             self.call(allowance, hop + 1)
 
-    def call(self, allowance: Allowance, hop: int) -> None:
+    def call(self, allowance: RetryAllowance, hop: int) -> None:
         while True:
-            handed = allowance.hand_down()
-            below = Allowance(handed)
+            handed = allowance.delegate()
+            below = RetryAllowance(handed)
             self.serve(below, hop)
             if self.rng.random() < 0.5:
-                allowance.give_back(handed, below.tokens)
+                allowance.reclaim(handed, below.tokens)
                 return
             if self.rng.random() < 0.5:
-                allowance.give_back(handed, below.tokens)
+                allowance.reclaim(handed, below.tokens)
             if not allowance.spend():
                 return
             self.resends += 1
@@ -43,13 +43,13 @@
         # Every hop may fail and be retried. With a retry rule of its own at each hop the
         # tries would multiply with the depth; with one allowance the sum is the bound.
         chain = _Chain(min(depth, 5) if fan_out > 1 else depth, fan_out, seed)
-        chain.serve(Allowance(bound), 0)
+        chain.serve(RetryAllowance(bound), 0)
         self.assertLessEqual(chain.resends, bound)
 
     def test_more_tokens_than_were_handed_down_do_not_come_back(self):
-        allowance = Allowance(3)
-        handed = allowance.hand_down()
-        allowance.give_back(handed, 100)
+        allowance = RetryAllowance(3)
+        handed = allowance.delegate()
+        allowance.reclaim(handed, 100)
         self.assertEqual(3, allowance.tokens)
 
 
--- a/tests/test_route.py
+++ b/tests/test_route.py
@@ -4,9 +4,9 @@
 
 from dunlinsaddle.policy.admission import Load
 from dunlinsaddle.policy.route import (
-    ASK_AGAIN_SECONDS,
-    AVOID_SECONDS,
-    EJECT_AFTER,
+    AVOID_LEAVING_SECONDS,
+    CONSECUTIVE_FAILURES_TO_EJECT,
+    MAX_RATE_AGE_SECONDS,
     Candidate,
     Router,
 )
@@ -29,14 +29,16 @@
             counts[chosen.instance] = counts.get(chosen.instance, 0) + 1
         return {name: count / rounds for name, count in counts.items()}
 
-    def lose_calls(self, instance: str, now: float = 0.0, times: int = EJECT_AFTER) -> None:
+    def lose_calls(
+        self, instance: str, now: float = 0.0, times: int = CONSECUTIVE_FAILURES_TO_EJECT
+    ) -> None:
         for _ in range(times):
-            self.router.sent(instance)
-            self.router.failed(now, instance)
+            self.router.record_sent(instance)
+            self.router.record_failure(now, instance)
 
     def load(self, instance: str, **load) -> None:
-        self.router.sent(instance)
-        self.router.answered(0.0, instance, Load(**load))
+        self.router.record_sent(instance)
+        self.router.record_answer(0.0, instance, Load(**load))
 
     def test_idle_targets_are_chosen_near_first(self):
         self.assertEqual({'bangor-1': 1.0}, self.shares())
@@ -64,8 +66,8 @@
         # The caller sees errors: a target answers 500 within a millisecond, so it always
         # has the fewest calls outstanding, and a choice by load alone sends it everything.
         for _ in range(20):
-            self.router.sent('bangor-1')
-            self.router.answered(0.0, 'bangor-1', Load(inflight=0, limit=40), error=True)
+            self.router.record_sent('bangor-1')
+            self.router.record_answer(0.0, 'bangor-1', Load(inflight=0, limit=40), error=True)
             for name in ('menai-1', 'caernarfon-1'):
                 self.load(name, inflight=1, limit=40)
         self.assertLess(self.shares().get('bangor-1', 0.0), 0.5)
@@ -76,8 +78,8 @@
         self.assertEqual(suspect, self.router.choose(0.0, [suspect]))
 
     def test_target_that_said_it_leaves_is_avoided(self):
-        self.router.avoid(0.0, 'bangor-1')
-        self.assertNotIn('bangor-1', self.shares(now=AVOID_SECONDS / 2))
+        self.router.avoid_leaving(0.0, 'bangor-1')
+        self.assertNotIn('bangor-1', self.shares(now=AVOID_LEAVING_SECONDS / 2))
 
     def test_tried_targets_are_never_chosen_again(self):
         tried = frozenset({'bangor-1', 'menai-1', 'caernarfon-1'})
@@ -88,9 +90,9 @@
         for i in range(12):
             for name, took in seconds.items():
                 instance = name.replace('_', '-')
-                self.router.sent(instance)
-                self.router.took(i / 12, instance, 'cuts', took)
-                self.router.answered(0.0, instance, Load(limit=100))
+                self.router.record_sent(instance)
+                self.router.record_duration(i / 12, instance, 'cuts', took)
+                self.router.record_answer(0.0, instance, Load(limit=100))
 
     def test_slow_target_is_given_little_while_others_have_room(self):
         # Requests that may not be repeated time out, one after the other, at a target that
@@ -129,14 +131,14 @@
         # A target that fails at once would draw the calls of all.
         self.pace(bangor_1=0.12, menai_1=0.12, caernarfon_1=0.12)
         for _ in range(20):
-            self.router.took(1.0, 'menai-1', 'cuts', 0.001, whole=False)
+            self.router.record_duration(1.0, 'menai-1', 'cuts', 0.001, whole=False)
         self.assertGreater(self.shares(now=1.0)['bangor-1'], 0.9)
 
     def test_call_that_was_given_up_shows_that_its_target_is_slow(self):
         # All calls at a target end at their deadline, and no answer ever tells of its time.
         self.pace(menai_1=0.12, caernarfon_1=0.12)
         for i in range(12):
-            self.router.took(i / 12, 'bangor-1', 'cuts', 0.8, whole=False)
+            self.router.record_duration(i / 12, 'bangor-1', 'cuts', 0.8, whole=False)
         self.assertLess(self.shares(now=1.0).get('bangor-1', 0.0), 0.02)
 
     def test_target_that_loses_most_answers_at_once_does_not_draw_the_load(self):
@@ -145,11 +147,11 @@
         # them from being left out, and calls that are sent again meet the other bad one.
         for i in range(60):
             for instance in ('bangor-1', 'menai-1'):
-                self.router.sent(instance)
+                self.router.record_sent(instance)
                 if i % 5 == 4:
-                    self.router.answered(0.0, instance, Load(inflight=2, limit=100))
+                    self.router.record_answer(0.0, instance, Load(inflight=2, limit=100))
                 else:
-                    self.router.failed(0.0, instance)
+                    self.router.record_failure(0.0, instance)
         self.load('caernarfon-1', inflight=5, limit=100)
         self.assertGreater(self.shares(now=0.0)['caernarfon-1'], 0.6)
 
@@ -157,18 +159,18 @@
         """By its slots alone it is idle, and would draw most calls and refuse them."""
         for name in ('bangor-1', 'menai-1', 'caernarfon-1'):
             self.load(name, inflight=4, limit=40)
-        self.router.named_rate(0.0, 'bangor-1', 5.0, use=1.0)
+        self.router.record_rate(0.0, 'bangor-1', 5.0, use=1.0)
         self.assertEqual(0.0, self.shares().get('bangor-1', 0.0))
 
     def test_target_with_a_rate_gets_calls_while_the_others_are_full(self):
         for name in ('menai-1', 'caernarfon-1'):
             self.load(name, inflight=40, waiting=20, limit=40)
-        self.router.named_rate(0.0, 'bangor-1', 5.0, use=0.3)
+        self.router.record_rate(0.0, 'bangor-1', 5.0, use=0.3)
         self.assertGreater(self.shares()['bangor-1'], 0.9)
 
     def test_rate_that_is_used_up_is_asked_for_anew_by_one_call_at_a_time(self):
-        self.router.named_rate(0.0, 'bangor-1', 0.25, use=1.0)
-        now = ASK_AGAIN_SECONDS + 1
+        self.router.record_rate(0.0, 'bangor-1', 0.25, use=1.0)
+        now = MAX_RATE_AGE_SECONDS + 1
         self.assertEqual('bangor-1', self.router.choose(now, ALL).instance)
-        self.router.sent('bangor-1')
+        self.router.record_sent('bangor-1')
         self.assertEqual(0.0, self.shares(now).get('bangor-1', 0.0))
