--- a/dunlinsaddle/calls/dispatch.py
+++ b/dunlinsaddle/calls/dispatch.py
@@ -119,7 +119,7 @@
         """
         if parent_rule:
             now = self.now()
-            self.executor.levels.called(now, parent_rule, work.ctx.service, work.ctx.rule)
+            self.executor.levels.record_call(now, parent_rule, work.ctx.service, work.ctx.rule)
         if self.once is not None and not work.ctx.idempotent:
             return await self._enter_once(self.once, work)
         return self.refused_early(work) or await self.send(work)
@@ -299,7 +299,9 @@
 
     def _learn(self, now: float, work: Work, reply: Reply) -> None:
         if reply.load is not None and self._speaks_for_service(work.ctx.service, reply):
-            self.executor.levels.learn(now, work.ctx.service, work.ctx.rule, reply.load.heard)
+            self.executor.levels.record_response(
+                now, work.ctx.service, work.ctx.rule, reply.load.reported_level
+            )
 
     def _speaks_for_service(self, service: str, reply: Reply) -> bool:
         """Say whether the level that came with a reply is one to refuse requests by.
@@ -325,7 +327,7 @@
 
     def _nobody(self, ctx: CallContext) -> Reply:
         now = self.now()
-        self.executor.levels.unavailable(now, ctx.service, ctx.rule)
+        self.executor.levels.record_unavailable(now, ctx.service, ctx.rule)
         detail = f'no target of {ctx.service} is known'
         return refusal(Failure(ErrorKind.NO_TARGET, detail, NO_TARGET_COME_BACK))
 
--- a/dunlinsaddle/calls/execute.py
+++ b/dunlinsaddle/calls/execute.py
@@ -15,21 +15,21 @@
 from dunlinsaddle.errors import ErrorKind, Failure
 from dunlinsaddle.loops import OnLoop
 from dunlinsaddle.policy.admission import (
+    AdmissionDecision,
     AdmissionPolicy,
     Load,
     Refuse,
     Run,
     Sample,
     Ticket,
-    Verdict,
     Wait,
 )
 from dunlinsaddle.policy.context import CallContext
-from dunlinsaddle.policy.level import TICK, ChainLevels
+from dunlinsaddle.policy.level import UPDATE_INTERVAL_SECONDS, ChainLevels
 from dunlinsaddle.policy.quarantine import Quarantine, Quarantined, Suspected
 from dunlinsaddle.stats import Hop, Stats
 
-TICK_SECONDS = TICK + 0.0001  #: just enough for the tick to be due
+TICK_SECONDS = UPDATE_INTERVAL_SECONDS + 0.0001  #: just enough for the tick to be due
 
 
 #: Hears what the target says of itself: with the answer to which request, and when that was sent.
@@ -113,7 +113,7 @@
         ticket = self._ticket(work.ctx)
         failure = await self._admit(ticket, work.ctx)
         if work.waits is not None:
-            work.waits.seconds += self.now() - ticket.arrived
+            work.waits.seconds += self.now() - ticket.arrived_at
         if failure is not None:
             return self._refused(failure, work)
         return await self._run(work, ticket)
@@ -159,7 +159,7 @@
 
     async def _admit(self, ticket: Ticket, ctx: CallContext) -> Failure | None:
         loop = self.loop
-        verdict = self.admission.arrive(loop.time(), ticket)
+        verdict = self.admission.admit(loop.time(), ticket)
         if self.observes(ctx.service):
             self._observe(ticket, verdict)
             return None
@@ -181,10 +181,10 @@
             raise
         finally:
             self._waiters.remove(ticket)
-        self.stats.waited(loop.time() - ticket.arrived)
+        self.stats.waited(loop.time() - ticket.arrived_at)
         return refused
 
-    def _observe(self, ticket: Ticket, verdict: Verdict) -> None:
+    def _observe(self, ticket: Ticket, verdict: AdmissionDecision) -> None:
         """Count what would have been decided; the call runs whatever it was.
 
         Beside an older system that still protects the service nothing may be refused twice.
@@ -207,7 +207,7 @@
             now = self.now()
             self._finish(ticket, Sample(ticket.rule, 0.0, completed=False), now)
         else:
-            self.admission.abandon(ticket)
+            self.admission.cancel(ticket)
 
     def refuse_waiting(self) -> None:
         """Refuse what still waits at a target that leaves: it did not run, and can elsewhere."""
@@ -247,16 +247,16 @@
     def _load(self, ctx: CallContext) -> Load:
         """Report the worst level of this hop and those below, for the hops above to refuse by."""
         now = self.now()
-        return self.admission.load(now).with_chain(self.levels, now, ctx.service, ctx.rule)
+        return self.admission.load(now).with_chain_level(self.levels, now, ctx.service, ctx.rule)
 
     def _waits(self, ticket: Ticket, now: float, waits: bool) -> None:
         """Let another call run while the target waits for a service on behalf of this one."""
         if ticket.call_id in self._shadows:
             return
         if waits:
-            self.admission.leave(now, ticket)
+            self.admission.pause(now, ticket)
         else:
-            self.admission.come_back(now, ticket)
+            self.admission.resume(now, ticket)
         self._release(now)
 
     async def _call_target(self, work: Work, running: Running) -> Reply:
@@ -323,17 +323,17 @@
     def _finish(self, ticket: Ticket, sample: Sample, now: float) -> None:
         if ticket.call_id in self._shadows:
             self._shadows.discard(ticket.call_id)
-            self.admission.abandon(ticket)
+            self.admission.cancel(ticket)
         else:
             self.admission.finish(now, ticket, sample)
         self._release(now)
 
     def _release(self, now: float) -> None:
-        released = self.admission.release(now)
+        released = self.admission.dequeue(now)
         for started in released.started:
             self._settle(started, None)
         late = Failure(ErrorKind.TOO_LATE_TO_START, retry_after=COME_BACK)
-        for dropped in released.dropped:
+        for dropped in released.expired:
             self._settle(dropped, late)
         self._waiters.wake_when_due(now)
 
--- a/dunlinsaddle/calls/faces.py
+++ b/dunlinsaddle/calls/faces.py
@@ -22,7 +22,7 @@
 from dunlinsaddle.calls.work import Running, RunningCalls, Waits, Work, count_added
 from dunlinsaddle.errors import ErrorKind, Failure, Outcome
 from dunlinsaddle.policy.classify import classify
-from dunlinsaddle.policy.context import MAX_HOPS, CallContext, inherited, priority_of
+from dunlinsaddle.policy.context import MAX_HOPS, CallContext, inherit_priority, priority_of
 from dunlinsaddle.policy.resend_guard import ResendGuard
 from dunlinsaddle.policy.retry import RetryAllowance
 from dunlinsaddle.records.book import RecordBook
@@ -272,7 +272,7 @@
             caller=root.caller if root else 'local',
             service=record.service,
             rule=rule.name,
-            priority=inherited(root.priority, rule.rank)
+            priority=inherit_priority(root.priority, rule.rank)
             if root
             else priority_of(rule.rank, request_id),
             deadline=min(root.deadline, deadline) if root else deadline,
--- a/dunlinsaddle/calls/waiters.py
+++ b/dunlinsaddle/calls/waiters.py
@@ -60,7 +60,7 @@
         """Take a call out of the queue if it still waits there."""
         held = self._waiters.get(ticket.call_id)
         if held is not None and not held.end.done():
-            self.admission.abandon(ticket)
+            self.admission.cancel(ticket)
             held.end.set_result(failure)
 
     def refuse_all(self, failure: Failure) -> None:
@@ -70,7 +70,7 @@
 
     def wake_when_due(self, now: float) -> None:
         """Start waiting calls when their time comes, too: of few calls none may end by then."""
-        seconds = self.admission.due_in(now)
+        seconds = self.admission.seconds_to_next_start(now)
         if seconds is None:
             return
         if self._due is not None:
--- a/dunlinsaddle/calls/work.py
+++ b/dunlinsaddle/calls/work.py
@@ -73,7 +73,7 @@
         fingerprint=ctx.fingerprint,
         deaths=ctx.deaths,
         useful=min(max(ctx.useful_until - now, 0.0), MAX_BUDGET),
-        repeated=ctx.repeated,
+        repeated=ctx.is_resend,
         organisation=ctx.organisation,
         told=told,
     )
@@ -95,7 +95,7 @@
         fingerprint=call.fingerprint,
         deaths=call.deaths,
         useful_until=now + call.useful,
-        repeated=call.repeated,
+        is_resend=call.repeated,
         organisation=call.organisation,
     )
     allowance = RetryAllowance(call.allowance)
--- a/dunlinsaddle/mesh/announce.py
+++ b/dunlinsaddle/mesh/announce.py
@@ -62,7 +62,7 @@
         if not self.log.take(beat):
             return
         self.heard_at = asyncio.get_running_loop().time()
-        self.admission.announce(beat.slots)
+        self.admission.set_slots(beat.slots)
         new = held is None or (held.target_id, held.started) != (beat.target_id, beat.started)
         if new:
             self.logger.info('target announced', extra=_named(beat))
--- a/dunlinsaddle/mesh/entry.py
+++ b/dunlinsaddle/mesh/entry.py
@@ -27,8 +27,8 @@
 )
 from dunlinsaddle.policy.admission import Load
 from dunlinsaddle.policy.context import MAX_HOPS, CallContext, priority_of
-from dunlinsaddle.policy.costs import Costs
-from dunlinsaddle.policy.outcomes import Outcomes
+from dunlinsaddle.policy.failure_throttle import FailureThrottle
+from dunlinsaddle.policy.request_costs import RequestCosts
 from dunlinsaddle.policy.retry_budget import RetryBudget
 from dunlinsaddle.records.models import Rank
 from dunlinsaddle.routes.follow import ConfigFollower
@@ -68,8 +68,8 @@
         self.running = running
         self.rng = rng
         self.on_end = on_end
-        self.costs = Costs()
-        self.outcomes = Outcomes()
+        self.costs = RequestCosts()
+        self.outcomes = FailureThrottle()
 
     async def handle(self, req: HttpRequest) -> HttpResponse:
         """Answer one request."""
@@ -94,7 +94,7 @@
             case Ok(holder):
                 keyed = table.wants_keys
                 work = self._work(req, terms, route, parent, holder, keyed=keyed)
-        if work.ctx.repeated:
+        if work.ctx.is_resend:
             self.budget.record_repeat(began, work.ctx.service)
         else:
             self.budget.record_request(began, work.ctx.service)
@@ -134,7 +134,7 @@
         if reply.outcome is Outcome.NOT_RUN:
             self.quotas.give_back(loan)
         else:
-            self.outcomes.ended(self.now(), rule, lost=bool(reply.cause))
+            self.outcomes.record_end(self.now(), rule, failed=bool(reply.cause))
         return reply
 
     def _note_denied(
@@ -148,7 +148,7 @@
             parent.cost_below += load.cost
             return
         ctx = work.ctx
-        self.costs.learn(self.now(), ctx.rule, ctx.priority.rank, load.cost)
+        self.costs.record(self.now(), ctx.rule, ctx.priority.rank, load.cost)
 
     def _work(
         self,
@@ -167,7 +167,7 @@
         request_id = terms.request_id or str(uuid6.uuid7())
         if parent is None:
             priority = priority_of(rank_of(route, holder), request_id)
-            priority = self.costs.placed(now, route.name, priority)
+            priority = self.costs.adjust_priority(now, route.name, priority)
         else:
             # Failure: calls of a rank of their own are admitted by another level than the one
             # that entries compare requests with, so that a service tells "full from rank 1 on"
@@ -205,7 +205,7 @@
     return ctx._replace(
         deadline=min(ctx.deadline, root.deadline),
         hop=min(root.hop + 1, MAX_HOPS),
-        repeated=root.repeated,
+        is_resend=root.is_resend,
         organisation=root.organisation,
     )
 
--- a/dunlinsaddle/mesh/levels.py
+++ b/dunlinsaddle/mesh/levels.py
@@ -5,12 +5,12 @@
 from dunlinsaddle.loops import OnLoop
 from dunlinsaddle.membership.agent import GossipAgent
 from dunlinsaddle.policy.context import LOWEST_LEVEL
-from dunlinsaddle.policy.level import STALE_AFTER, ChainLevels, Heard
+from dunlinsaddle.policy.level import STALE_AFTER_SECONDS, ChainLevels, ReportedLevel
 from dunlinsaddle.policy.slots import SlotAdmission
 
 #: Seconds between two rounds, half of the time after which a learned level counts as stale: an
 #: entry that misses one word still has the next in time.
-ROUND_SECONDS = STALE_AFTER / 2
+ROUND_SECONDS = STALE_AFTER_SECONDS / 2
 #: Rounds in which an open level is still told, so that those who refuse hear of it at once.
 LAST_ROUNDS = 2
 
@@ -33,7 +33,7 @@
         """Tell until cancelled."""
         while True:
             await asyncio.sleep(ROUND_SECONDS)
-            if self.admission.names_rate:
+            if self.admission.has_rate_limit:
                 # Others of the service may have room, and replies tell entries whether they do.
                 continue
             level = self.admission.level
@@ -49,4 +49,4 @@
 
     def hear(self, service: str, level: float) -> None:
         """Take what another node told of the target beside it."""
-        self.levels.hear(self.now(), service, Heard(level))
+        self.levels.record_level(self.now(), service, ReportedLevel(level))
--- a/dunlinsaddle/mesh/news.py
+++ b/dunlinsaddle/mesh/news.py
@@ -7,7 +7,7 @@
 from dunlinsaddle.calls.messages import Told
 from dunlinsaddle.calls.target import NOTHING_SAID, LocalTarget, Said
 from dunlinsaddle.loops import OnLoop
-from dunlinsaddle.policy.rate import LEAST_RATE
+from dunlinsaddle.policy.rate_limit import MIN_RATE
 from dunlinsaddle.policy.slots import SlotAdmission
 
 
@@ -46,8 +46,8 @@
         said = self.said
         if said == NOTHING_SAID:
             return None
-        rate = None if said.rate is None else max(said.rate, LEAST_RATE)
-        use = self.admission.rate_use(self.now())
+        rate = None if said.rate is None else max(said.rate, MIN_RATE)
+        use = self.admission.rate_utilisation(self.now())
         return Told(self.target.incarnation, rate, use, said.leaving)
 
     def recall(self, request_id: str, told: Told | None) -> None:
@@ -79,7 +79,7 @@
             return
         self.decisions.target_said(request_id, self.target.target_id, said, held, source)
         self.said = said
-        self.admission.name_rate(self.now(), said.rate)
+        self.admission.set_rate_limit(self.now(), said.rate)
         if said.leaving and not held.leaving:
             self.target.drain()
             self.on_leave()
--- a/dunlinsaddle/mesh/node.py
+++ b/dunlinsaddle/mesh/node.py
@@ -353,7 +353,7 @@
         self.ledger.overage = bounds.quota_overage
 
     def _target_started(self) -> None:
-        self.admission.restarted(self.now())
+        self.admission.reset_after_restart(self.now())
         self.news.restarted()
 
     def _target_drains(self) -> None:
--- a/dunlinsaddle/mesh/resends.py
+++ b/dunlinsaddle/mesh/resends.py
@@ -76,7 +76,7 @@
         """Mark what may have run before: the calls that its next run makes are repeats, too."""
         if reply.outcome is Outcome.NOT_RUN:
             return work
-        return work._replace(ctx=work.ctx._replace(repeated=True))
+        return work._replace(ctx=work.ctx._replace(is_resend=True))
 
 
 def _failed_alone(reply: Reply) -> bool:
--- a/dunlinsaddle/node.py
+++ b/dunlinsaddle/node.py
@@ -289,7 +289,7 @@
         extra = {'service': self.target.service, 'address': str(self.target.address)}
         self.logger.info('target announced', extra=extra)
         self._configure()
-        self.admission.restarted(asyncio.get_running_loop().time())
+        self.admission.reset_after_restart(asyncio.get_running_loop().time())
 
     def _configure(self) -> None:
         record = self.book.find(self.target.service)
--- a/dunlinsaddle/policy/admission.py
+++ b/dunlinsaddle/policy/admission.py
@@ -7,20 +7,20 @@
 from sortedcontainers import SortedKeyList
 
 from dunlinsaddle.errors import ErrorKind, Failure
-from dunlinsaddle.policy.capacity import ObservedCapacity
+from dunlinsaddle.policy.concurrency_limit import INITIAL_LIMIT, AdaptiveLimit
 from dunlinsaddle.policy.context import LOWEST_LEVEL, SLOTS_PER_RANK
-from dunlinsaddle.policy.level import AdmittedLevel, ChainLevels, Heard
-from dunlinsaddle.policy.limit import FIRST_LIMIT, AdaptiveLimit
+from dunlinsaddle.policy.level import AdmittedLevel, ChainLevels, ReportedLevel
+from dunlinsaddle.policy.observed_capacity import ObservedCapacity
 from dunlinsaddle.policy.retry_after import retry_after
 from dunlinsaddle.records.models import ServiceRecord
 
-LONGEST_QUEUE = 0.5  #: calls that wait for each that runs, at recovery_bias 0
-SHORTEST_QUEUE = 0.1  #: the same at recovery_bias 1
-CRITICAL_QUEUE = 8  #: calls of the most valued rank that may wait, however low the limit
-HIGHEST_USE = 0.95  #: demand admitted as a share of capacity, at recovery_bias 0
-LOWEST_USE = 0.9  #: the same at recovery_bias 1
-DEEP_QUEUE = 1.0  #: calls that wait for each that runs, when work has been done for them
-TIME_GAIN = 0.1  #: weight of one call in a mean time: some ten calls count
+MAX_QUEUE_RATIO = 0.5  #: calls that wait for each that runs, at recovery_bias 0
+MIN_QUEUE_RATIO = 0.1  #: the same at recovery_bias 1
+CRITICAL_QUEUE_CALLS = 8  #: calls of the most valued rank that may wait, however low the limit
+MAX_UTILISATION = 0.95  #: demand admitted as a share of capacity, at recovery_bias 0
+MIN_UTILISATION = 0.9  #: the same at recovery_bias 1
+DEEP_QUEUE_RATIO = 1.0  #: calls that wait for each that runs, when work has been done for them
+SERVICE_TIME_WEIGHT = 0.1  #: weight of one call in a mean time: some ten calls count
 
 
 class Ticket(NamedTuple):
@@ -28,7 +28,7 @@
 
     call_id: int
     level: int
-    arrived: float
+    arrived_at: float
     deadline: float
     rule: str = 'default'
     caller: str = ''
@@ -41,7 +41,7 @@
 
     inflight: int = 0
     waiting: int = 0
-    limit: float = FIRST_LIMIT
+    limit: float = INITIAL_LIMIT
     level: float = LOWEST_LEVEL  #: the lowest priority admitted now, with a fraction of the next
     age: float = 0.0  #: seconds since the target that admits it has confirmed it
     limited_by: str = ''  #: the service whose target admits that level
@@ -49,13 +49,13 @@
     cost: float = 0.0
 
     @property
-    def heard(self) -> Heard:
+    def reported_level(self) -> ReportedLevel:
         """The level as a node learns it from an answer."""
-        return Heard(self.level, self.age, self.limited_by)
+        return ReportedLevel(self.level, self.age, self.limited_by)
 
-    def with_chain(self, levels: ChainLevels, now: float, service: str, rule: str) -> 'Load':
+    def with_chain_level(self, levels: ChainLevels, now: float, service: str, rule: str) -> 'Load':
         """Give it with the worst level of this service and those that a rule calls."""
-        worst = levels.worst(now, rule, Heard(self.level, service=service))
+        worst = levels.lowest_in_chain(now, rule, ReportedLevel(self.level, service=service))
         return self._replace(level=worst.level, age=worst.age, limited_by=worst.service)
 
 
@@ -78,7 +78,7 @@
     failure: Failure
 
 
-Verdict = Run | Wait | Refuse
+AdmissionDecision = Run | Wait | Refuse
 
 
 class Sample(NamedTuple):
@@ -89,11 +89,11 @@
     completed: bool
 
 
-class Released(NamedTuple):
+class Dequeued(NamedTuple):
     """The calls that may start now, and those that waited in vain."""
 
     started: list[Ticket]
-    dropped: list[Ticket]
+    expired: list[Ticket]
 
 
 class AdmissionPolicy(Protocol):
@@ -103,25 +103,25 @@
     def limit(self) -> float:
         """The most calls that run at once, now."""
 
-    def arrive(self, now: float, ticket: Ticket) -> Verdict:
+    def admit(self, now: float, ticket: Ticket) -> AdmissionDecision:
         """Decide on a new call."""
 
     def finish(self, now: float, ticket: Ticket, sample: Sample) -> None:
         """Hear that a running call has ended."""
 
-    def leave(self, now: float, ticket: Ticket) -> None:
+    def pause(self, now: float, ticket: Ticket) -> None:
         """Hear that the target waits for another service on behalf of a running call."""
 
-    def come_back(self, now: float, ticket: Ticket) -> None:
+    def resume(self, now: float, ticket: Ticket) -> None:
         """Hear that this wait has ended."""
 
-    def abandon(self, ticket: Ticket) -> None:
+    def cancel(self, ticket: Ticket) -> None:
         """Take a waiting call out: its caller has gone."""
 
-    def release(self, now: float) -> Released:
+    def dequeue(self, now: float) -> Dequeued:
         """Say which waiting calls start now and which can no longer make their deadline."""
 
-    def due_in(self, now: float) -> float | None:
+    def seconds_to_next_start(self, now: float) -> float | None:
         """Give the seconds until a waiting call may start though no call ends; None for never."""
 
     def load(self, now: float) -> Load:
@@ -144,12 +144,12 @@
     (1: little waits when the overload ends).
     """
 
-    def __init__(self, *, limit: float = 0, most: int = 1000, bias: float = 0.5) -> None:
+    def __init__(self, *, limit: float = 0, max_inflight: int = 1000, bias: float = 0.5) -> None:
         self.inflight = 0
         self._away: set[int] = set()
-        self.most = most
+        self.max_inflight = max_inflight
         self.queue: SortedKeyList = SortedKeyList(key=_order)
-        self._adaptive = AdaptiveLimit(limit, most)
+        self._adaptive = AdaptiveLimit(limit, max_inflight)
         self._level = AdmittedLevel()
         self._use_bias(bias)
         self._started: dict[int, _Start] = {}
@@ -159,11 +159,11 @@
         self._working: set[int] = set()
 
     @classmethod
-    def of(cls, record: ServiceRecord) -> 'Admission':
+    def from_record(cls, record: ServiceRecord) -> 'Admission':
         """Build it as a record says; its slots are a first guess only."""
         return cls(
             limit=record.slots,
-            most=record.connections,
+            max_inflight=record.connections,
             bias=record.recovery_bias,
         )
 
@@ -178,20 +178,20 @@
 
     def configure(self, record: ServiceRecord) -> None:
         """Take what the record says now; what was learned stays."""
-        self.most = record.connections
-        self._adaptive.guess(record.slots, record.connections)
+        self.max_inflight = record.connections
+        self._adaptive.set_initial_limit(record.slots, record.connections)
         self._use_bias(record.recovery_bias)
 
-    def restarted(self, now: float) -> None:
+    def reset_after_restart(self, now: float) -> None:
         """Hear that the target has announced itself anew: it is cold."""
-        self._adaptive.restarted(now)
+        self._adaptive.reset_after_restart(now)
         self._observed = ObservedCapacity()
         self._observe(now)
 
-    def arrive(self, now: float, ticket: Ticket) -> Verdict:
+    def admit(self, now: float, ticket: Ticket) -> AdmissionDecision:
         """Decide on a new call."""
-        self._level.arrived(ticket.level)
-        self._level.update(now, self._capacity(now), self._observed.idle(now))
+        self._level.record_arrival(ticket.level)
+        self._level.update(now, self._capacity(now), self._observed.idle_seconds(now))
         if self._free() and not self.queue:
             self._start(now, ticket)
             return Run()
@@ -218,16 +218,16 @@
         start = self._started.pop(ticket.call_id)
         own_time = sample.own_time if sample.completed else None
         before = self.limit
-        self._adaptive.finished(now, start.cohort, sample.rule, own_time)
-        if self._adaptive.starting:
-            self._observed.grown(max(self.limit / before, 1.0))
+        self._adaptive.record_finish(now, start.cohort, sample.rule, own_time)
+        if self._adaptive.is_in_initial_growth:
+            self._observed.scale(max(self.limit / before, 1.0))
         if not sample.completed:
             return
         seconds = now - start.when
         self._mean_time = _averaged(self._mean_time, sample.own_time)
         self._times[sample.rule] = _averaged(self._times.get(sample.rule, 0.0), seconds)
 
-    def leave(self, now: float, ticket: Ticket) -> None:
+    def pause(self, now: float, ticket: Ticket) -> None:
         """Let another call take the place of one that waits for another service.
 
         Counting those that wait would tie this target's limit to the speed of services
@@ -240,47 +240,47 @@
         self._away.add(ticket.call_id)
         self._observe(now)
 
-    def come_back(self, now: float, ticket: Ticket) -> None:
+    def resume(self, now: float, ticket: Ticket) -> None:
         """Count the call again; for a while more may run than the limit says."""
         self._away.discard(ticket.call_id)
         self._observe(now)
 
-    def abandon(self, ticket: Ticket) -> None:
+    def cancel(self, ticket: Ticket) -> None:
         """Take a waiting call out."""
         self.queue.discard(ticket)
 
-    def release(self, now: float) -> Released:
+    def dequeue(self, now: float) -> Dequeued:
         """Say which waiting calls start now and which can no longer make their deadline."""
         started: list[Ticket] = []
-        dropped: list[Ticket] = []
+        expired: list[Ticket] = []
         while self.queue and self._free():
             ticket = self.queue.pop(0)
             if now + self._times.get(ticket.rule, 0.0) > ticket.deadline:
-                dropped.append(ticket)
+                expired.append(ticket)
                 continue
             self._start(now, ticket)
             started.append(ticket)
-        return Released(started, dropped)
+        return Dequeued(started, expired)
 
-    def due_in(self, now: float) -> float | None:
+    def seconds_to_next_start(self, now: float) -> float | None:
         """Give None: only the end of a call makes room for another."""
         return None
 
     def load(self, now: float) -> Load:
         """Give the load to report."""
-        self._level.update(now, self._capacity(now), self._observed.idle(now))
+        self._level.update(now, self._capacity(now), self._observed.idle_seconds(now))
         return Load(self._active(), len(self.queue), self.limit, self._level.level)
 
     def _start(self, now: float, ticket: Ticket) -> None:
         self.inflight += 1
         self._working.add(ticket.call_id)
         self._observe(now)
-        cohort = self._adaptive.started(self._active())
+        cohort = self._adaptive.record_start(self._active())
         self._started[ticket.call_id] = _Start(now, cohort)
 
     def _use_bias(self, bias: float) -> None:
-        self._queue_share = LONGEST_QUEUE + (SHORTEST_QUEUE - LONGEST_QUEUE) * bias
-        self._level.utilisation = HIGHEST_USE + (LOWEST_USE - HIGHEST_USE) * bias
+        self._queue_share = MAX_QUEUE_RATIO + (MIN_QUEUE_RATIO - MAX_QUEUE_RATIO) * bias
+        self._level.utilisation = MAX_UTILISATION + (MIN_UTILISATION - MAX_UTILISATION) * bias
 
     def _observe(self, now: float) -> None:
         self._observed.advance(now, saturated=not self._free())
@@ -290,7 +290,7 @@
         return self.inflight - len(self._away)
 
     def _free(self) -> bool:
-        return self._active() < self.limit and self.inflight < self.most
+        return self._active() < self.limit and self.inflight < self.max_inflight
 
     def _has_room(self, ticket: Ticket) -> bool:
         """Say whether the call may wait without taking the place of another.
@@ -299,18 +299,18 @@
         rank, the next of that rank would be refused while lookups still have the slots.
         """
         waiting = len(self.queue)
-        share = DEEP_QUEUE if ticket.hop else self._queue_share
+        share = DEEP_QUEUE_RATIO if ticket.hop else self._queue_share
         if waiting < max(self.limit * share, 1):
             return True
         if max(ticket.level, self.queue[-1].level) >= SLOTS_PER_RANK:
             return False
-        return waiting < CRITICAL_QUEUE
+        return waiting < CRITICAL_QUEUE_CALLS
 
     def _work_done(self, ticket: Ticket) -> None:
         """Count a call once: when it first leaves for another service, or ends."""
         if ticket.call_id in self._working:
             self._working.discard(ticket.call_id)
-            self._observed.done()
+            self._observed.record_call()
 
     def _capacity(self, now: float) -> float:
         """Give the calls a second that the target can take; 0 if unknown."""
@@ -332,8 +332,8 @@
 def _order(ticket: Ticket) -> tuple[int, int, int, float, int]:
     """Order by rank, then the deepest first: to drop it would waste the most work."""
     rank = ticket.level // SLOTS_PER_RANK
-    return rank, -ticket.hop, ticket.level, ticket.arrived, ticket.call_id
+    return rank, -ticket.hop, ticket.level, ticket.arrived_at, ticket.call_id
 
 
 def _averaged(mean: float, value: float) -> float:
-    return mean + (value - mean) * TIME_GAIN if mean else value
+    return mean + (value - mean) * SERVICE_TIME_WEIGHT if mean else value
--- a/dunlinsaddle/policy/limit.py
+++ b/dunlinsaddle/policy/concurrency_limit.py
@@ -2,7 +2,7 @@
 
 from typing import NamedTuple
 
-FIRST_LIMIT = 8.0
+INITIAL_LIMIT = 8.0
 FIRST_SAMPLES = 4  #: of a rule in one cohort, whose mean is its first baseline
 FEWEST = 32  #: calls in a cohort, at least
 MOST = 96
@@ -57,7 +57,7 @@
         self.squares = 0.0
         self.peak = 0
         self.by_rule: dict[str, list[float]] = {}  #: inflations of rules with a baseline
-        self.first: dict[str, list[float]] = {}  #: own times of rules without a baseline
+        self.new_rule_times: dict[str, list[float]] = {}  #: own times of rules without a baseline
 
     def complete(self, now: float) -> bool:
         """Say whether enough of it has ended."""
@@ -86,12 +86,12 @@
     decrease would go on down to one call.
     """
 
-    def __init__(self, first: float = 0, most: int = 1000) -> None:
+    def __init__(self, initial: float = 0, max_limit: int = 1000) -> None:
         """Begin with a first guess by who knows the target, 0 for none."""
-        self.most = most
-        self.first = min(first or FIRST_LIMIT, most)
-        self.value = self.first
-        self._told = first > 0
+        self.max_limit = max_limit
+        self.initial = min(initial or INITIAL_LIMIT, max_limit)
+        self.value = self.initial
+        self._told = initial > 0
         self._baselines: dict[str, float] = {}
         self._inflation = 1.0
         self._slow_start = True
@@ -103,34 +103,34 @@
         self._cohort = _Cohort(0, FEWEST, 0.0)
 
     @property
-    def starting(self) -> bool:
+    def is_in_initial_growth(self) -> bool:
         """Whether it still rises from a first limit that nobody told."""
         return self._slow_start and not self._told
 
-    def guess(self, told: float, most: int) -> None:
+    def set_initial_limit(self, told: float, max_limit: int) -> None:
         """Take a first guess, 0 for none, and the upper bound; what was learned goes before it."""
-        first = told or FIRST_LIMIT
-        self.most = most
-        if first != self.first and not self._baselines:
+        first = told or INITIAL_LIMIT
+        self.max_limit = max_limit
+        if first != self.initial and not self._baselines:
             self.value = first
         self._told = told > 0
-        self.first = min(first, most)
-        self.value = min(self.value, most)
+        self.initial = min(first, max_limit)
+        self.value = min(self.value, max_limit)
 
-    def restarted(self, now: float) -> None:
+    def reset_after_restart(self, now: float) -> None:
         """Start slowly: a target that has just come up is cold.
 
         Its own time is inflated for a while, and falls by itself. A trial would take that
         for the effect of its cut; so up to the limit of before there are none.
         """
         self._return_to = max(self.value, self._return_to) if self._baselines else 0.0
-        cold = min(self.value, self.first) * COLD_SHARE
-        self.value = max(cold, min(self.first, FIRST_LIMIT))
+        cold = min(self.value, self.initial) * COLD_SHARE
+        self.value = max(cold, min(self.initial, INITIAL_LIMIT))
         self._slow_start = True
         self._trial = None
         self._open(now)
 
-    def started(self, inflight: int) -> int:
+    def record_start(self, inflight: int) -> int:
         """Note that a call begins; gives the number of its cohort, -1 if it is in none."""
         cohort = self._cohort
         cohort.peak = max(cohort.peak, inflight)
@@ -139,7 +139,7 @@
         cohort.started += 1
         return cohort.number
 
-    def finished(self, now: float, number: int, rule: str, own_time: float | None) -> None:
+    def record_finish(self, now: float, number: int, rule: str, own_time: float | None) -> None:
         """Note the end of a call: seconds without its calls to others, None if it failed."""
         cohort = self._cohort
         if number != cohort.number:
@@ -157,7 +157,7 @@
     def _take(self, cohort: _Cohort, rule: str, own_time: float) -> None:
         baseline = self._baselines.get(rule)
         if baseline is None:
-            cohort.first.setdefault(rule, []).append(own_time)
+            cohort.new_rule_times.setdefault(rule, []).append(own_time)
             if not self._baselines and not self._told:
                 # Held until there is a baseline, a fleet that has just started refuses callers
                 # for the time of some thirty calls, with most of its slots free.
@@ -179,11 +179,11 @@
 
     def _start_slowly(self, cohort: _Cohort) -> None:
         if self._slow_start and cohort.peak >= USED * self.value:
-            self.value = min(self.value + FIRST_GROWTH, self.most)
+            self.value = min(self.value + FIRST_GROWTH, self.max_limit)
 
     def _add_baselines(self, cohort: _Cohort) -> None:
         """Take the first baselines of rules that are new, as far as the cohort has enough."""
-        for rule, times in cohort.first.items():
+        for rule, times in cohort.new_rule_times.items():
             if len(times) >= FIRST_SAMPLES:
                 mean = sum(times) / len(times)
                 self._baselines[rule] = max(mean / self._inflation, 1e-6)
@@ -244,7 +244,7 @@
                 self._scale(inflation)
                 self._probe_at = now
             return
-        self.value = min(trial.limit, max(self._proven, self.value), self.most)
+        self.value = min(trial.limit, max(self._proven, self.value), self.max_limit)
         if inflation > INFLATED:
             self._scale(inflation)
         pause = min(self._probe_pause * 2, LONGEST_PROBE) if trial.probe else PROBE_AFTER
@@ -255,7 +255,7 @@
         if self._slow_start or peak < USED * self.value:
             return
         factor = FAST_GROWTH if inflation < CALM else SLOW_GROWTH
-        self.value = min(max(self.value * factor, self.value + 1), self.most)
+        self.value = min(max(self.value * factor, self.value + 1), self.max_limit)
 
     def _move_baseline(self, inflation: float) -> None:
         if inflation < MUCH_FASTER:
--- a/dunlinsaddle/policy/context.py
+++ b/dunlinsaddle/policy/context.py
@@ -33,7 +33,7 @@
     return Priority(rank, xxhash.xxh32_intdigest(request_id.encode()) % SLOTS_PER_RANK)
 
 
-def inherited(root: Priority, own: Rank) -> Priority:
+def inherit_priority(root: Priority, own: Rank) -> Priority:
     """Give the priority of a call that is made on behalf of a root request.
 
     It is the root's, so that all hops shed the same requests. A call of the most valued rank
@@ -58,5 +58,5 @@
     fingerprint: int
     deaths: int = 0  #: of targets that were lost while they ran this request
     useful_until: float = math.inf  #: an answer after this time of the loop is worth less
-    repeated: bool = False  #: it, or the request that it is made for, was sent before
+    is_resend: bool = False  #: it, or the request that it is made for, was sent before
     organisation: str = ''  #: whose request it is, or the request that it is made for
--- a/dunlinsaddle/policy/outcomes.py
+++ b/dunlinsaddle/policy/failure_throttle.py
@@ -8,7 +8,7 @@
 FORGET_SECONDS = 5.0
 #: Share that is always let in: it finds out when requests are whole again, within a second at an
 #: entry that gets some ten a second.
-LEAST_ADMITTED = 0.25
+MIN_ADMITTED_SHARE = 0.25
 #: Share that is whole from which a rule is not held back: for those who get their answer it was
 #: right to begin. Below, what is let in falls as the square, so that chance holds back few.
 GOOD_SHARE = 0.4
@@ -24,7 +24,7 @@
         self.credit = 1.0  #: requests that may still be let in, with the fraction of the next
 
 
-class Outcomes:
+class FailureThrottle:
     """Lets in less of a rule whose requests nearly all fail for their calls.
 
     Failure: the targets of a deep service turn calls away, at random. Each has free slots, so no
@@ -37,17 +37,17 @@
     def __init__(self) -> None:
         self._rules: dict[str, _Rule] = {}
 
-    def ended(self, now: float, rule: str, *, lost: bool) -> None:
-        """Note the end of a request; ``lost`` if one of its calls failed."""
+    def record_end(self, now: float, rule: str, *, failed: bool) -> None:
+        """Note the end of a request; ``failed`` if one of its calls failed."""
         found = self._rules.get(rule)
         if found is None:
-            if not lost:
+            if not failed:
                 return
             if len(self._rules) >= RULES_MOST:
                 self._rules.clear()
             found = self._rules[rule] = _Rule()
         known = _faded(now, found)
-        found.lost = known + WEIGHT * (lost - known)
+        found.lost = known + WEIGHT * (failed - known)
         found.heard = now
 
     def admits(self, now: float, rule: str) -> bool:
@@ -56,7 +56,7 @@
         if found is None:
             return True
         whole = 1 - _faded(now, found)
-        share = min(max((whole / GOOD_SHARE) ** 2, LEAST_ADMITTED), 1.0)
+        share = min(max((whole / GOOD_SHARE) ** 2, MIN_ADMITTED_SHARE), 1.0)
         found.credit = min(found.credit + share, 1.0 + share)
         if found.credit < 1:
             return False
--- a/dunlinsaddle/policy/level.py
+++ b/dunlinsaddle/policy/level.py
@@ -9,32 +9,34 @@
 
 from dunlinsaddle.errors import ErrorKind, Failure
 from dunlinsaddle.policy.context import LOWEST_LEVEL, SLOTS_PER_RANK
-from dunlinsaddle.policy.recent import RecentLowest
-from dunlinsaddle.policy.retry_after import spread
-from dunlinsaddle.policy.trend import LEAST_SHARE, DemandTrend
-
-SHORTEST_MEMORY = 0.2  #: seconds over which demand is averaged, as ENOUGH_CALLS take
-LONGEST_MEMORY = 0.5  #: seconds; a surge that has ended is forgotten within one
-ENOUGH_CALLS = 150.0  #: calls, of which a share is known within a tenth
-TICK = 0.1  #: seconds between two decisions
-GAIN = 0.5  #: share of the way to the wanted level in one tick
-FAR_OVER = 1.5  #: demand over capacity from which the level falls at once
-MOST_RELAX = 64  #: levels that are opened in one tick at most
-FEW_LEVELS = 4  #: open levels that are too few to tell the demand of the others by
-OPEN_AFTER = 0.05  #: seconds of spare capacity that are no chance
-SETTLED = 0.8  #: seconds after which the demand of an opened level is seen in full
-FALL_TICKS = 3  #: ticks over which a fall of demand is looked for: a gap of one is often chance
-FALL_CERTAIN = 3.0  #: standard errors: by chance one look in 3,000, and then for some ticks
-SHUT_MEMORY = 1.0  #: seconds for which the demand of shut levels is remembered
-LEARN_GAIN = 0.25  #: weight of one answer in a learned level: some four answers count
-STALE_AFTER = 0.5  #: seconds without news after which a learned level opens again
-REOPEN_RATE = 256.0  #: levels a second
+from dunlinsaddle.policy.demand_trend import MIN_DEMAND_RATIO, DemandTrend
+from dunlinsaddle.policy.retry_after import apply_jitter
+from dunlinsaddle.policy.sliding_minimum import SlidingMinimum
+
+MIN_AVERAGING_SECONDS = 0.2  #: seconds over which demand is averaged, as AVERAGED_CALLS take
+MAX_AVERAGING_SECONDS = 0.5  #: seconds; a surge that has ended is forgotten within one
+AVERAGED_CALLS = 150.0  #: calls, of which a share is known within a tenth
+UPDATE_INTERVAL_SECONDS = 0.1  #: seconds between two decisions
+LEVEL_STEP_SHARE = 0.5  #: share of the way to the wanted level in one tick
+SEVERE_OVERLOAD_RATIO = 1.5  #: demand over capacity from which the level falls at once
+MAX_OPENING_STEP = 64  #: levels that are opened in one tick at most
+MIN_STEADY_LEVELS = 4  #: open levels that are too few to tell the demand of the others by
+IDLE_SECONDS_TO_OPEN = 0.05  #: seconds of spare capacity that are no chance
+STEADY_SECONDS = 0.8  #: seconds after which the demand of an opened level is seen in full
+DROP_WINDOW_UPDATES = (
+    3  #: ticks over which a fall of demand is looked for: a gap of one is often chance
+)
+DROP_STANDARD_ERRORS = 3.0  #: standard errors: by chance one look in 3,000, and then for some ticks
+CLOSED_DEMAND_DECAY_SECONDS = 1.0  #: seconds for which the demand of shut levels is remembered
+REPORTED_LEVEL_WEIGHT = 0.25  #: weight of one answer in a learned level: some four answers count
+STALE_AFTER_SECONDS = 0.5  #: seconds without news after which a learned level opens again
+REOPEN_LEVELS_PER_SECOND = 256.0  #: levels a second
 #: Share of the time in which an answer is worth most after which a refused caller comes back.
 #: Half of it is left for the second try, which takes a fifth to a third when it is admitted.
-COME_BACK_SHARE = 0.5
-LONGEST_COME_BACK = 8.0  #: seconds; an overload is mostly over within them
-NOTHING = -1.0  #: the level of a service that admits nothing
-EDGE_MEMORY = 30.0  #: seconds for which a rule counts as calling a service
+RETRY_AFTER_SHARE = 0.5
+MAX_RETRY_AFTER_SECONDS = 8.0  #: seconds; an overload is mostly over within them
+CLOSED_LEVEL = -1.0  #: the level of a service that admits nothing
+CALL_EDGE_TTL_SECONDS = 30.0  #: seconds for which a rule counts as calling a service
 
 
 class AdmittedLevel:
@@ -50,18 +52,18 @@
         self.utilisation = utilisation
         self.level = float(LOWEST_LEVEL)
         self.demand = 0.0  #: calls a second, over all levels
-        self._memory = SHORTEST_MEMORY
+        self._memory = MIN_AVERAGING_SECONDS
         self._counts = [0.0] * (LOWEST_LEVEL + 1)
         self._known = [0.0] * (LOWEST_LEVEL + 1)
         self._before: list[float] = []  #: calls of all more valued levels, at the last tick
         self._room = 0.0  #: calls that the capacity takes in the time that these stand for
         self._ticked = 0.0
-        self._lowest = RecentLowest(SETTLED)
-        self._steady = 0  #: levels below it have been open for ``SETTLED``
+        self._lowest = SlidingMinimum(STEADY_SECONDS)
+        self._steady = 0  #: levels below it have been open for ``STEADY_SECONDS``
         self._fresh = 0.0  #: calls of these levels since the last tick
-        self._recent: deque[tuple[float, float]] = deque(maxlen=FALL_TICKS)
+        self._recent: deque[tuple[float, float]] = deque(maxlen=DROP_WINDOW_UPDATES)
 
-    def arrived(self, level: int, amount: float = 1.0) -> None:
+    def record_arrival(self, level: int, amount: float = 1.0) -> None:
         """Count a call that asks to run, or so many usual ones."""
         self._counts[level] += amount
         if level < self._steady:
@@ -74,7 +76,7 @@
         the target has had free places and nothing has waited.
         """
         elapsed = now - self._ticked
-        if elapsed < TICK:
+        if elapsed < UPDATE_INTERVAL_SECONDS:
             return
         self._ticked = now
         decay = exp(-elapsed / self._memory)
@@ -85,7 +87,7 @@
         self._forget_a_surge(elapsed, window)
         self.demand = sum(self._counts) / window
         self._remember(elapsed)
-        if idle > OPEN_AFTER:
+        if idle > IDLE_SECONDS_TO_OPEN:
             # Whatever was estimated was too much; the queue takes what comes too many.
             self.level = float(LOWEST_LEVEL)
         elif capacity > 0:
@@ -96,7 +98,7 @@
             self._resize(capacity)
         self._counts = [count * decay for count in self._counts]
 
-    def left_for(self, level: int) -> float:
+    def capacity_share_for(self, level: int) -> float:
         """Give the share of the capacity that calls of more valued levels leave; 1 if unknown."""
         if not self._before or self._room <= 0:
             return 1.0
@@ -115,17 +117,20 @@
         self._fresh = 0.0
         seen = sum(fresh for fresh, _ in self._recent)
         before = sum(usual for _, usual in self._recent)
-        if len(self._recent) < FALL_TICKS or seen >= before - FALL_CERTAIN * before**0.5:
+        if (
+            len(self._recent) < DROP_WINDOW_UPDATES
+            or seen >= before - DROP_STANDARD_ERRORS * before**0.5
+        ):
             return
-        share = max(seen / before, LEAST_SHARE)
+        share = max(seen / before, MIN_DEMAND_RATIO)
         self._counts = [count * share for count in self._counts]
         self._known = [count * share for count in self._known]
         self._recent.clear()
 
     def _resize(self, capacity: float) -> None:
         """Average over so many calls that chance moves the level little."""
-        wanted = ENOUGH_CALLS / capacity
-        memory = min(max(wanted, SHORTEST_MEMORY), LONGEST_MEMORY)
+        wanted = AVERAGED_CALLS / capacity
+        memory = min(max(wanted, MIN_AVERAGING_SECONDS), MAX_AVERAGING_SECONDS)
         scale = memory / self._memory
         if 0.8 < scale < 1.25:
             return
@@ -146,10 +151,10 @@
         self._steady = steady
         start = steady // SLOTS_PER_RANK * SLOTS_PER_RANK
         rank_end = start + SLOTS_PER_RANK
-        decay = exp(-elapsed / SHUT_MEMORY)
+        decay = exp(-elapsed / CLOSED_DEMAND_DECAY_SECONDS)
         faded = [max(c, k * decay) for c, k in zip(self._counts, self._known, strict=True)]
         self._known = self._counts[:end] + faded[end:]
-        if steady - start < FEW_LEVELS:
+        if steady - start < MIN_STEADY_LEVELS:
             self._known[steady:end] = faded[steady:end]
             return
         density = sum(self._counts[start:steady]) / (steady - start)
@@ -160,9 +165,9 @@
     def _decide(self, room: float) -> None:
         """Take the room in calls that the counts stand for."""
         wanted = _fill(self._known, room)
-        if sum(self._counts) > room * FAR_OVER:
+        if sum(self._counts) > room * SEVERE_OVERLOAD_RATIO:
             self.level = min(_fill(self._counts, room), self.level)
-        step = min(GAIN * (wanted - self.level), MOST_RELAX)
+        step = min(LEVEL_STEP_SHARE * (wanted - self.level), MAX_OPENING_STEP)
         self.level = min(max(self.level + step, 0.0), LOWEST_LEVEL)
 
 
@@ -176,7 +181,7 @@
     return level - 1 + (room - before) / (totals[level] - before)
 
 
-class Heard(NamedTuple):
+class ReportedLevel(NamedTuple):
     """A level, the service that admits it, and for how long its target has not confirmed it."""
 
     level: float
@@ -209,7 +214,7 @@
         self._trend = DemandTrend()
         self._refusals = 0
 
-    def learn(self, now: float, service: str, rule: str, heard: Heard) -> None:
+    def record_response(self, now: float, service: str, rule: str, heard: ReportedLevel) -> None:
         """Take the level that came with an answer; answers of all targets are averaged.
 
         It is kept for the service that admits it, whichever rule brought it. Failure: an entry
@@ -220,9 +225,9 @@
         """
         source = heard.service or service
         self._limits.setdefault((service, rule), {})[source] = now
-        self.hear(now, source, heard)
+        self.record_level(now, source, heard)
 
-    def hear(self, now: float, source: str, heard: Heard) -> None:
+    def record_level(self, now: float, source: str, heard: ReportedLevel) -> None:
         """Take a level that one of a service's targets admits, with an answer or without.
 
         Failure: an entry that gets three requests a second refuses early, so no answer tells it
@@ -233,46 +238,46 @@
             self._learned[source] = _Learned(heard.level, now - heard.age)
             return
         known.level = _aged(known, now)
-        known.level += LEARN_GAIN * (heard.level - known.level)
+        known.level += REPORTED_LEVEL_WEIGHT * (heard.level - known.level)
         known.confirmed = max(now - heard.age, known.confirmed)
 
-    def unavailable(self, now: float, service: str, rule: str) -> None:
+    def record_unavailable(self, now: float, service: str, rule: str) -> None:
         """Take it that a service without any target admits nothing, until it is asked again."""
         self._limits.setdefault((service, rule), {})[service] = now
-        self._learned[service] = _Learned(NOTHING, now)
+        self._learned[service] = _Learned(CLOSED_LEVEL, now)
 
-    def called(self, now: float, parent_rule: str, service: str, rule: str) -> None:
+    def record_call(self, now: float, parent_rule: str, service: str, rule: str) -> None:
         """Note that the local target calls a service while it works on a rule."""
         self._edges.setdefault(parent_rule, {})[service, rule] = now
 
-    def worst(self, now: float, rule: str, own: Heard) -> Heard:
+    def lowest_in_chain(self, now: float, rule: str, own: ReportedLevel) -> ReportedLevel:
         """Give the worst of the own level and those of all services that a rule calls.
 
         Where all are open the last one below is told, so that the hops above learn that it is.
         """
         found = own
         for (service, called), last in self._edges.get(rule, {}).items():
-            if now - last > EDGE_MEMORY:
+            if now - last > CALL_EDGE_TTL_SECONDS:
                 continue
             below = self._lowest(now, service, called)
             if below is not None and below.level <= found.level:
                 found = below
         return found
 
-    def admitted(self, now: float, service: str, rule: str) -> float:
+    def admitted_level(self, now: float, service: str, rule: str) -> float:
         """Give the lowest level that a service admits for a rule, as far as known."""
         lowest = self._lowest(now, service, rule)
         return LOWEST_LEVEL if lowest is None else lowest.level
 
-    def _lowest(self, now: float, service: str, rule: str) -> Heard | None:
-        found: Heard | None = None
+    def _lowest(self, now: float, service: str, rule: str) -> ReportedLevel | None:
+        found: ReportedLevel | None = None
         for source, last in self._limits.get((service, rule), {}).items():
-            if now - last > EDGE_MEMORY:
+            if now - last > CALL_EDGE_TTL_SECONDS:
                 continue
             known = self._learned[source]
             level = _aged(known, now)
             if found is None or level < found.level:
-                found = Heard(level, max(now - known.confirmed, 0.0), source)
+                found = ReportedLevel(level, max(now - known.confirmed, 0.0), source)
         return found
 
     def check(
@@ -295,17 +300,17 @@
         """
         if hop:
             return None
-        self._trend.arrived(now)
-        admitted = _opened(self.admitted(now, service, rule), self._trend.fallen(now))
+        self._trend.record_arrival(now)
+        admitted = _opened(self.admitted_level(now, service, rule), self._trend.demand_ratio(now))
         if level <= admitted or self._marginal(level - admitted):
             return None
         excess = level / max(admitted, 1.0)
-        return self.refuse(useful_for, min(1.0 + excess, LONGEST_COME_BACK))
+        return self.refuse(useful_for, min(1.0 + excess, MAX_RETRY_AFTER_SECONDS))
 
-    def refuse(self, useful_for: float, longest: float = LONGEST_COME_BACK) -> Failure:
+    def refuse(self, useful_for: float, longest: float = MAX_RETRY_AFTER_SECONDS) -> Failure:
         """Give an early refusal; its caller comes back while one more try is in time."""
         self._refusals += 1
-        wait = spread(min(longest, useful_for * COME_BACK_SHARE), self._refusals)
+        wait = apply_jitter(min(longest, useful_for * RETRY_AFTER_SHARE), self._refusals)
         return Failure(ErrorKind.REFUSED_EARLY, retry_after=wait)
 
     def _marginal(self, above: float) -> bool:
@@ -328,10 +333,10 @@
 
 
 def _aged(known: _Learned, now: float) -> float:
-    stale = max(now - known.confirmed - STALE_AFTER, 0.0)
-    if known.level <= NOTHING and stale > 0:
+    stale = max(now - known.confirmed - STALE_AFTER_SECONDS, 0.0)
+    if known.level <= CLOSED_LEVEL and stale > 0:
         # Failure: targets are back after a loss of power, and callers are refused for two
         # seconds more, 590 of them on one day; nobody had asked since there was none. A
         # service without targets has no load that a slow opening would protect.
         return LOWEST_LEVEL
-    return min(known.level + stale * REOPEN_RATE, LOWEST_LEVEL)
+    return min(known.level + stale * REOPEN_LEVELS_PER_SECOND, LOWEST_LEVEL)
--- a/dunlinsaddle/policy/naive.py
+++ b/dunlinsaddle/policy/naive.py
@@ -4,13 +4,13 @@
 
 from dunlinsaddle.errors import ErrorKind, Failure
 from dunlinsaddle.policy.admission import (
+    AdmissionDecision,
+    Dequeued,
     Load,
     Refuse,
-    Released,
     Run,
     Sample,
     Ticket,
-    Verdict,
     Wait,
 )
 
@@ -26,7 +26,7 @@
         self.inflight = 0
         self.queue: deque[Ticket] = deque()
 
-    def arrive(self, now: float, ticket: Ticket) -> Verdict:
+    def admit(self, now: float, ticket: Ticket) -> AdmissionDecision:
         """Decide on a new call."""
         if self.inflight < self.limit and not self.queue:
             self.inflight += 1
@@ -40,26 +40,26 @@
         """Hear that a running call has ended."""
         self.inflight -= 1
 
-    def leave(self, now: float, ticket: Ticket) -> None:
+    def pause(self, now: float, ticket: Ticket) -> None:
         """Keep the place: the limit counts all calls."""
 
-    def come_back(self, now: float, ticket: Ticket) -> None:
+    def resume(self, now: float, ticket: Ticket) -> None:
         """Do nothing, for the place was kept."""
 
-    def abandon(self, ticket: Ticket) -> None:
+    def cancel(self, ticket: Ticket) -> None:
         """Take a waiting call out."""
         if ticket in self.queue:
             self.queue.remove(ticket)
 
-    def release(self, now: float) -> Released:
+    def dequeue(self, now: float) -> Dequeued:
         """Say which waiting calls start now."""
         started: list[Ticket] = []
         while self.queue and self.inflight < self.limit:
             self.inflight += 1
             started.append(self.queue.popleft())
-        return Released(started, [])
+        return Dequeued(started, [])
 
-    def due_in(self, now: float) -> float | None:
+    def seconds_to_next_start(self, now: float) -> float | None:
         """Give None: only the end of a call makes room for another."""
         return None
 
--- a/dunlinsaddle/policy/capacity.py
+++ b/dunlinsaddle/policy/observed_capacity.py
@@ -31,7 +31,7 @@
         self._now = now
         self._saturated = saturated
 
-    def done(self) -> None:
+    def record_call(self) -> None:
         """Count a call that the target has done its own work for, before ``advance``."""
         if not self._saturated:
             return
@@ -40,7 +40,7 @@
             self._calls *= 0.5
             self._time *= 0.5
 
-    def grown(self, factor: float) -> None:
+    def scale(self, factor: float) -> None:
         """Take it that the target does so many times the calls, as it is given more at once.
 
         Failure: the rate that a low limit let through counts on for a hundred calls; by it the
@@ -48,7 +48,7 @@
         """
         self._calls *= factor
 
-    def idle(self, now: float) -> float:
+    def idle_seconds(self, now: float) -> float:
         """Give for how many seconds places have been free."""
         return 0.0 if self._saturated else now - self._free_since
 
--- a/dunlinsaddle/policy/quota.py
+++ b/dunlinsaddle/policy/quota.py
@@ -6,7 +6,7 @@
 
 import xxhash
 
-from dunlinsaddle.policy.sliding import SlidingCount
+from dunlinsaddle.policy.sliding_count import SlidingCount
 from dunlinsaddle.routes.models import Quota
 
 LENDERS_PER_ORGANISATION = (
@@ -157,7 +157,7 @@
         bucket = self._own.get(organisation) or self._stood_in.get(organisation)
         if bucket is not None:
             bucket.tokens += 1
-            bucket.recent.take_back()
+            bucket.recent.remove_one()
 
     def tokens_left(self) -> dict[str, float]:
         """Give what is left, by organisation, as of the latest request of each."""
--- a/dunlinsaddle/policy/pace.py
+++ b/dunlinsaddle/policy/relative_latency.py
@@ -16,7 +16,7 @@
 RULES_MOST = 4096  #: rules whose mean is held; a configuration grows by some hundred routes
 
 
-class Paces:
+class RelativeLatencies:
     """The pace of each target: its times as a share of what calls of the same rule take.
 
     Failure: a target takes five times as long as the others. By its load it looks idle, as it
@@ -28,7 +28,7 @@
         self._means: dict[str, float] = {}
         self._paces: dict[str, tuple[float, float]] = {}
 
-    def took(self, now: float, instance: str, rule: str, seconds: float, *, whole: bool) -> None:
+    def record(self, now: float, instance: str, rule: str, seconds: float, *, whole: bool) -> None:
         """Note a call of ``seconds``; unless ``whole``, its answer would have taken longer.
 
         A call that failed sooner than most are answered says nothing of the pace.
@@ -43,10 +43,10 @@
         elif whole:
             self._means[rule] = mean + MEAN_WEIGHT * (seconds - mean)
         share = min(seconds / mean, SLOWEST) if mean else 1.0
-        pace = self.of(now, instance)
+        pace = self.ratio(now, instance)
         self._paces[instance] = (pace + WEIGHT * (share - pace), now)
 
-    def of(self, now: float, instance: str) -> float:
+    def ratio(self, now: float, instance: str) -> float:
         """Give a target's pace: 1 is the mean, 2 takes twice as long, unknown ones are at 1."""
         known = self._paces.get(instance)
         if known is None:
--- a/dunlinsaddle/policy/costs.py
+++ b/dunlinsaddle/policy/request_costs.py
@@ -18,7 +18,7 @@
     heard: float
 
 
-class Costs:
+class RequestCosts:
     """The cost of each rule at the service that limits it, in seconds of a whole target.
 
     Failure: a view holds a slot of the deep service for 0.48 s, a lookup for 0.12 s in all.
@@ -31,7 +31,7 @@
     def __init__(self) -> None:
         self._costs: dict[str, _Cost] = {}
 
-    def learn(self, now: float, rule: str, rank: Rank, seconds: float) -> None:
+    def record(self, now: float, rule: str, rank: Rank, seconds: float) -> None:
         """Take what a request that was served has cost."""
         if seconds <= 0:
             return
@@ -40,7 +40,7 @@
             seconds = known.seconds + GAIN * (seconds - known.seconds)
         self._costs[rule] = _Cost(rank, seconds, now)
 
-    def placed(self, now: float, rule: str, priority: Priority) -> Priority:
+    def adjust_priority(self, now: float, rule: str, priority: Priority) -> Priority:
         """Give a request its place within its rank: the cheaper its rule, the further in front."""
         own = self._costs.get(rule)
         if own is None:
--- a/dunlinsaddle/policy/retry_after.py
+++ b/dunlinsaddle/policy/retry_after.py
@@ -8,10 +8,10 @@
 
 def retry_after(excess: float, ticket: int) -> float:
     """Give seconds that grow with the excess (demand over capacity), spread by the ticket."""
-    return spread(min(SHORTEST * max(excess, 1.0), LONGEST), ticket)
+    return apply_jitter(min(SHORTEST * max(excess, 1.0), LONGEST), ticket)
 
 
-def spread(seconds: float, ticket: int) -> float:
+def apply_jitter(seconds: float, ticket: int) -> float:
     """Give a time within a quarter of ``seconds``, another one for each ticket.
 
     Callers refused together would come back together. Multiples of the golden ratio spread
--- a/dunlinsaddle/policy/retry_budget.py
+++ b/dunlinsaddle/policy/retry_budget.py
@@ -3,7 +3,7 @@
 from math import exp
 
 from dunlinsaddle.policy.context import LOWEST_LEVEL, SLOTS_PER_RANK
-from dunlinsaddle.policy.sliding import SlidingCount
+from dunlinsaddle.policy.sliding_count import SlidingCount
 from dunlinsaddle.records.models import Rank
 
 WINDOW_SLOTS = 10  #: parts of the window; a finer window would count more exactly and cost more
--- a/dunlinsaddle/policy/route.py
+++ b/dunlinsaddle/policy/route.py
@@ -6,7 +6,7 @@
 from typing import NamedTuple, TypedDict
 
 from dunlinsaddle.policy.admission import Load
-from dunlinsaddle.policy.pace import FORGET_SECONDS, Paces
+from dunlinsaddle.policy.relative_latency import FORGET_SECONDS, RelativeLatencies
 
 #: Calls in a row without an answer; one or two happen at a sound target that restarts.
 CONSECUTIVE_FAILURES_TO_EJECT = 3
@@ -137,7 +137,7 @@
         self.instance = instance
         self.sender_count = 1  #: nodes that may send calls to the same targets
         self._seen: dict[str, _Seen] = {}
-        self._paces = Paces()
+        self._paces = RelativeLatencies()
         self._usables: dict[int, _Usable] = {}  #: by the identity of the list of candidates
         self._left_out_changes = 0
 
@@ -207,7 +207,7 @@
         self, now: float, instance: str, rule: str, seconds: float, *, whole: bool = True
     ) -> None:
         """Note how long a call took; unless ``whole``, its answer would have taken longer."""
-        self._paces.took(now, instance, rule, seconds, whole=whole)
+        self._paces.record(now, instance, rule, seconds, whole=whole)
 
     def record_failure(self, now: float, instance: str) -> None:
         """Note a call that got no answer.
@@ -255,7 +255,7 @@
             outstanding=seen.outstanding,
             error_share=round(seen.errors(now), 3),
             left_out_for=round(max(seen.avoid_until - now, 0.0), 3),
-            pace=round(self._paces.of(now, instance), 2),
+            pace=round(self._paces.ratio(now, instance), 2),
         )
 
     def _known(self, now: float, candidates: Sequence[Candidate]) -> '_Usable':
@@ -297,7 +297,7 @@
     def _hardship(self, now: float, candidate: Candidate) -> float:
         """Give how long a call takes there, as a share of the mean, tries that fail included."""
         errors = self._of(candidate.instance).errors(now)
-        return self._paces.of(now, candidate.instance) * (1 + ERROR_COST_WEIGHT * errors)
+        return self._paces.ratio(now, candidate.instance) * (1 + ERROR_COST_WEIGHT * errors)
 
     def _of(self, instance: str) -> _Seen:
         seen = self._seen.get(instance)
--- a/dunlinsaddle/policy/sliding.py
+++ b/dunlinsaddle/policy/sliding_count.py
@@ -22,7 +22,7 @@
         number = self._advance(now)
         self._change(number, count)
 
-    def take_back(self) -> None:
+    def remove_one(self) -> None:
         """Count one less in the newest bucket, if it has any."""
         if self._buckets.get(self._newest):
             self._change(self._newest, -1)
--- a/dunlinsaddle/policy/recent.py
+++ b/dunlinsaddle/policy/sliding_minimum.py
@@ -3,7 +3,7 @@
 from collections import deque
 
 
-class RecentLowest:
+class SlidingMinimum:
     """The lowest value of the last seconds: levels below it have been open all that time."""
 
     def __init__(self, seconds: float) -> None:
--- a/dunlinsaddle/policy/slots.py
+++ b/dunlinsaddle/policy/slots.py
@@ -4,41 +4,43 @@
 
 from dunlinsaddle.errors import ErrorKind, Failure
 from dunlinsaddle.policy.admission import (
+    AdmissionDecision,
+    Dequeued,
     Load,
     Refuse,
-    Released,
     Run,
     Sample,
     Ticket,
-    Verdict,
     Wait,
 )
 from dunlinsaddle.policy.level import AdmittedLevel
-from dunlinsaddle.policy.rate import RateLimit
-from dunlinsaddle.policy.retry_after import spread
-from dunlinsaddle.policy.waiting import Ahead, WaitingCalls
+from dunlinsaddle.policy.rate_limit import RateLimit
+from dunlinsaddle.policy.retry_after import apply_jitter
+from dunlinsaddle.policy.wait_queue import QueuedWork, WaitQueue
 
 #: Share of the announced slots that is used. Targets slow down when nearly full, some from 95 %
 #: on, and a new connection may hold a slot for a moment.
-USED_SHARE = 0.95
+USABLE_SLOT_SHARE = 0.95
 #: Slots taken before a target has said how many it has: a restarted node knows nothing for up
 #: to one heartbeat, and an overrun would be rejected by the target.
-FIRST_SLOTS = 8
-TIME_GAIN = 0.05  #: weight of one call in the mean service time; some twenty calls count
+INITIAL_SLOTS = 8
+SERVICE_TIME_WEIGHT = 0.05  #: weight of one call in the mean service time; some twenty calls count
 #: Share of the limit up to which demand is admitted. At 1.1 no more lookups are served in time,
 #: and three times as many are begun in vain; at 0.92 fewer are served, 0.61 for 0.63 (simulated,
 #: a surge of 1.15 and of 1.3 times the capacity).
-ADMITTED_USE = 1.0
+ADMITTED_UTILISATION = 1.0
 #: Calls at the end of the queue that are looked at when another goes before them. Waits grow along
 #: the queue, so those that will be late are mostly the last.
-LAST_CALLS = 8
+MAX_TAIL_CHECKS = 8
 #: Seconds between two looks at all that wait: an objective shorter than that of the calls behind
 #: it is missed in the middle of the queue. A tenth of the shortest objective, 0.3 s.
-LOOK_SECONDS = 0.03
-SOONEST_DUE = 0.001  #: seconds; a timer for less may come before the rate has room
-LEAST_LEFT = 0.1  #: share of the slots that a call is taken to have, at least
-SHORTEST_COME_BACK = 0.4  #: seconds; less would return before the queue has moved
-LONGEST_COME_BACK = 1.6  #: seconds; callers heed a third of a deadline of five seconds at most
+FULL_SCAN_INTERVAL_SECONDS = 0.03
+MIN_START_DELAY_SECONDS = 0.001  #: seconds; a timer for less may come before the rate has room
+MIN_CAPACITY_SHARE = 0.1  #: share of the slots that a call is taken to have, at least
+MIN_RETRY_AFTER_SECONDS = 0.4  #: seconds; less would return before the queue has moved
+MAX_RETRY_AFTER_SECONDS = (
+    1.6  #: seconds; callers heed a third of a deadline of five seconds at most
+)
 
 
 class SlotAdmission:
@@ -56,14 +58,14 @@
     """
 
     def __init__(self) -> None:
-        self.slots = FIRST_SLOTS
+        self.slots = INITIAL_SLOTS
         self.inflight = 0
-        self.limit = _limit(FIRST_SLOTS)
-        self.queue = WaitingCalls(self._time)
+        self.limit = _limit(INITIAL_SLOTS)
+        self.queue = WaitQueue(self._time)
         self._looked_at = 0.0
         self._times: dict[str, float] = {}
         self._mean = 0.0  #: seconds for which a call holds a slot; 0 until one has ended
-        self._level = AdmittedLevel(ADMITTED_USE)
+        self._level = AdmittedLevel(ADMITTED_UTILISATION)
         self._full_at = 0.0  #: until when no call could start at once, by what is known
         self._refusals = 0
         self._rate = RateLimit()
@@ -74,33 +76,33 @@
         return self._level.level
 
     @property
-    def names_rate(self) -> bool:
+    def has_rate_limit(self) -> bool:
         """Whether the target names a rate."""
-        return self._rate.binding
+        return self._rate.is_set
 
-    def announce(self, slots: int) -> None:
+    def set_slots(self, slots: int) -> None:
         """Take the slots that the target says it has."""
         self.slots = slots
         self.limit = _limit(slots)
 
-    def name_rate(self, now: float, rate: float | None) -> None:
+    def set_rate_limit(self, now: float, rate: float | None) -> None:
         """Take the calls a second that the target says it takes, None for any number."""
-        self._rate.name(now, rate)
+        self._rate.set_rate(now, rate)
         # The next token of the rate before may have been far off.
         self._full_at = min(self._full_at, now)
         self._note_full(now)
 
-    def rate_use(self, now: float) -> float:
+    def rate_utilisation(self, now: float) -> float:
         """Give the share of the named rate that is used, 0 where none is named."""
-        return self._rate.use(now)
+        return self._rate.utilisation(now)
 
-    def restarted(self, now: float) -> None:
+    def reset_after_restart(self, now: float) -> None:
         """Forget the service times and the rate of the incarnation before."""
         self._times.clear()
         self._mean = 0.0
-        self.name_rate(now, None)
+        self.set_rate_limit(now, None)
 
-    def arrive(self, now: float, ticket: Ticket) -> Verdict:
+    def admit(self, now: float, ticket: Ticket) -> AdmissionDecision:
         """Decide on a new call."""
         self._count(now, ticket)
         if not self.queue and self._free(now):
@@ -125,34 +127,34 @@
         self._mean = _averaged(self._mean, sample.own_time)
         self._times[ticket.rule] = _averaged(self._times.get(ticket.rule, 0.0), sample.own_time)
 
-    def leave(self, now: float, ticket: Ticket) -> None:
+    def pause(self, now: float, ticket: Ticket) -> None:
         """Do nothing: a call holds its slot while the target waits for another service."""
 
-    def come_back(self, now: float, ticket: Ticket) -> None:
+    def resume(self, now: float, ticket: Ticket) -> None:
         """Do nothing, for the same reason."""
 
-    def abandon(self, ticket: Ticket) -> None:
+    def cancel(self, ticket: Ticket) -> None:
         """Take a waiting call out."""
         self.queue.discard(ticket)
 
-    def release(self, now: float) -> Released:
+    def dequeue(self, now: float) -> Dequeued:
         """Say which waiting calls start now and which can no longer be answered in time."""
         started: list[Ticket] = []
-        dropped: list[Ticket] = []
+        expired: list[Ticket] = []
         while self.queue and self._free(now):
             ticket = self.queue.pop_first()
             if now + self._time(ticket.rule) > ticket.deadline:
-                dropped.append(ticket)
+                expired.append(ticket)
                 continue
             self._start(now)
             started.append(ticket)
-        return Released(started, dropped)
+        return Dequeued(started, expired)
 
-    def due_in(self, now: float) -> float | None:
+    def seconds_to_next_start(self, now: float) -> float | None:
         """Give the seconds until a waiting call may start though no call ends; None for never."""
         if not self.queue or not self._has_slot():
             return None
-        return max(self._rate.wait(now, 1), SOONEST_DUE)
+        return max(self._rate.wait_seconds(now, 1), MIN_START_DELAY_SECONDS)
 
     def load(self, now: float) -> Load:
         """Give the load to report."""
@@ -163,7 +165,7 @@
         """Count the demand of a call: by the time for which it holds a slot; one for a rate."""
         alike = not self._mean or self._bound_by_rate()
         amount = 1.0 if alike else self._time(ticket.rule) / self._mean
-        self._level.arrived(ticket.level, amount)
+        self._level.record_arrival(ticket.level, amount)
         self._level.update(now, self._capacity(), self._idle(now))
 
     def _capacity(self) -> float:
@@ -174,14 +176,14 @@
 
     def _bound_by_rate(self) -> bool:
         """Say whether the rate allows fewer calls than the slots do."""
-        return self._rate.rate * self._mean < self.limit and self._rate.binding
+        return self._rate.rate * self._mean < self.limit and self._rate.is_set
 
     def _idle(self, now: float) -> float:
         """Give for how many seconds a call could have started at once."""
         return now - self._full_at if self._free(now) else 0.0
 
     def _free(self, now: float) -> bool:
-        return self._has_slot() and self._rate.free(now)
+        return self._has_slot() and self._rate.can_take(now)
 
     def _has_slot(self) -> bool:
         return self.inflight < self.limit
@@ -192,58 +194,62 @@
         self._note_full(now)
 
     def _note_full(self, now: float) -> None:
-        wait = self._rate.wait(now, 1)
+        wait = self._rate.wait_seconds(now, 1)
         if wait > 0:
             self._full_at = now + wait
 
     def _time(self, rule: str) -> float:
         return self._times.get(rule, self._mean)
 
-    def _wait(self, now: float, ticket: Ticket, ahead: Ahead) -> float:
+    def _wait(self, now: float, ticket: Ticket, ahead: QueuedWork) -> float:
         """Give the seconds until a call starts.
 
         At the entry, more valued calls that come later count, too: what waits there has what
         they leave of the slots, and told at once its caller can use the time. A call of running
         work is not given up for what may come.
         """
-        left = 1.0 if ticket.hop else max(self._level.left_for(ticket.level), LEAST_LEFT)
-        for_slot = (ahead.work + self._mean) / self.limit
-        return max(for_slot, self._rate.wait(now, ahead.calls + 1)) / left
-
-    def _in_time(self, now: float, ticket: Ticket, ahead: Ahead) -> bool:
+        left = (
+            1.0
+            if ticket.hop
+            else max(self._level.capacity_share_for(ticket.level), MIN_CAPACITY_SHARE)
+        )
+        for_slot = (ahead.work_seconds + self._mean) / self.limit
+        return max(for_slot, self._rate.wait_seconds(now, ahead.calls + 1)) / left
+
+    def _in_time(self, now: float, ticket: Ticket, ahead: QueuedWork) -> bool:
         """Say whether a call would be answered while its answer is still worth something."""
         answered = now + self._wait(now, ticket, ahead) + self._time(ticket.rule)
         return answered <= min(ticket.deadline, ticket.useful_until)
 
     def _late_behind(self, now: float, arrived: Ticket) -> Ticket | None:
         """Give the last of those behind a new call that will not be answered in time, if any."""
-        most = LAST_CALLS
-        if now - self._looked_at >= LOOK_SECONDS:
+        most = MAX_TAIL_CHECKS
+        if now - self._looked_at >= FULL_SCAN_INTERVAL_SECONDS:
             self._looked_at = now
             most = len(self.queue)
-        calls, work = self.queue.all()
+        calls, work = self.queue.total()
         for ticket in islice(reversed(self.queue), most):
             if ticket is arrived:
                 return None
             calls -= 1
             work -= self._time(ticket.rule)
-            if not self._in_time(now, ticket, Ahead(calls, work)):
+            if not self._in_time(now, ticket, QueuedWork(calls, work)):
                 return ticket
         return None
 
     def _refuse(self, now: float, ticket: Ticket) -> Refuse:
         self._refusals += 1
-        backlog = self._wait(now, ticket, self.queue.all())
-        seconds = min(max(2 * backlog, SHORTEST_COME_BACK), LONGEST_COME_BACK)
+        backlog = self._wait(now, ticket, self.queue.total())
+        seconds = min(max(2 * backlog, MIN_RETRY_AFTER_SECONDS), MAX_RETRY_AFTER_SECONDS)
         detail = f'the target takes {self._rate.rate:g} a second' if self._bound_by_rate() else ''
-        wait = spread(seconds, self._refusals)
+        wait = apply_jitter(seconds, self._refusals)
         return Refuse(Failure(ErrorKind.OVERLOADED, detail, wait))
 
 
 def _limit(slots: int) -> int:
     """Give the most calls that run at once."""
-    return max(int(slots * USED_SHARE), 1)
+    return max(int(slots * USABLE_SLOT_SHARE), 1)
 
 
 def _averaged(mean: float, value: float) -> float:
-    return mean + (value - mean) * TIME_GAIN if mean else value
+    return mean + (value - mean) * SERVICE_TIME_WEIGHT if mean else value
--- a/dunlinsaddle/policy/waiting.py
+++ b/dunlinsaddle/policy/wait_queue.py
@@ -9,14 +9,14 @@
 from dunlinsaddle.policy.context import LOWEST_LEVEL
 
 
-class Ahead(NamedTuple):
+class QueuedWork(NamedTuple):
     """What goes before a call."""
 
     calls: int
-    work: float  #: seconds for which they will hold a slot, added up
+    work_seconds: float  #: seconds for which they will hold a slot, added up
 
 
-class WaitingCalls:
+class WaitQueue:
     """Calls in the order of their levels, then of their arrival.
 
     All calls of one request share its level. Failure: a deep service has lost two of three
@@ -59,19 +59,19 @@
         self._count(ticket, -1)
         return ticket
 
-    def all(self) -> Ahead:
+    def total(self) -> QueuedWork:
         """Give all that wait, as they go before what comes last."""
         return self._ahead(self._totals)
 
-    def ahead_of(self, ticket: Ticket) -> Ahead:
+    def ahead_of(self, ticket: Ticket) -> QueuedWork:
         """Give those that a new call would wait behind."""
         return self._ahead(
             {rule: sum(counts[: ticket.level + 1]) for rule, counts in self._counts.items()}
         )
 
-    def _ahead(self, counts: dict[str, int]) -> Ahead:
+    def _ahead(self, counts: dict[str, int]) -> QueuedWork:
         work = sum(self._seconds_of(rule) * count for rule, count in counts.items())
-        return Ahead(sum(counts.values()), work)
+        return QueuedWork(sum(counts.values()), work)
 
     def _count(self, ticket: Ticket, change: int) -> None:
         rule = ticket.rule
@@ -87,4 +87,4 @@
 
 
 def _order(ticket: Ticket) -> tuple[int, float, int]:
-    return ticket.level, ticket.arrived, ticket.call_id
+    return ticket.level, ticket.arrived_at, ticket.call_id
--- a/dunlinsaddle/queries.py
+++ b/dunlinsaddle/queries.py
@@ -42,6 +42,6 @@
         return None
     now = asyncio.get_running_loop().time()
     rule = classify(record, question['method'], question['path'])
-    level = node.executor.levels.admitted(now, record.service, rule.name)
+    level = node.executor.levels.admitted_level(now, record.service, rule.name)
     members = node.view.serving(record.service)
     return explain(question, record, members, node.dispatcher.router, now, int(level))
--- a/dunlinsaddle/replay/current_node.py
+++ b/dunlinsaddle/replay/current_node.py
@@ -109,13 +109,13 @@
         if levels is None:
             return None
         if parent.hop:
-            levels.called(now, parent.rule, call.service, call.rule)
+            levels.record_call(now, parent.rule, call.service, call.rule)
         level = attempt.priority.level
         return levels.check(now, call.service, call.rule, level, parent.hop)
 
     def _nobody(self, call: Call) -> Answer:
         if self.levels is not None:
-            self.levels.unavailable(self.fleet.loop.now, call.service, call.rule)
+            self.levels.record_unavailable(self.fleet.loop.now, call.service, call.rule)
         return refused(ErrorKind.NO_TARGET)
 
     def _try(
@@ -136,7 +136,9 @@
         else:
             self.router.record_answer(self.fleet.loop.now, name, answer.load)
             if self.levels is not None and answer.load is not None:
-                self.levels.learn(self.fleet.loop.now, call.service, call.rule, answer.load.heard)
+                self.levels.record_response(
+                    self.fleet.loop.now, call.service, call.rule, answer.load.reported_level
+                )
         if answer.kind is not ErrorKind.PEER_LOST:
             allowance.reclaim(handed, held.tokens)
         return answer
@@ -145,4 +147,4 @@
         load = super()._load(call)
         if self.levels is None:
             return load
-        return load.with_chain(self.levels, self.fleet.loop.now, call.service, call.rule)
+        return load.with_chain_level(self.levels, self.fleet.loop.now, call.service, call.rule)
--- a/dunlinsaddle/replay/nodes.py
+++ b/dunlinsaddle/replay/nodes.py
@@ -94,7 +94,7 @@
             attempt.caller,
             hop,
         )
-        match self.admission.arrive(loop.now, ticket):
+        match self.admission.admit(loop.now, ticket):
             case Refuse(failure):
                 return Answer(failure, self._load(call))
             case Wait(evicted):
@@ -116,7 +116,7 @@
     def restarted(self) -> None:
         """Hear that the target has announced itself anew."""
         if isinstance(self.admission, Admission):
-            self.admission.restarted(self.fleet.loop.now)
+            self.admission.reset_after_restart(self.fleet.loop.now)
 
     def _run(
         self, attempt: Attempt, call: Call, allowance: RetryAllowance, ticket: Ticket
@@ -139,7 +139,7 @@
         own_time = loop.now - began
         answer = Answer()
         if computed and call.calls:
-            self.admission.leave(loop.now, ticket)
+            self.admission.pause(loop.now, ticket)
             self._release()
             parent = Parent(call.rule, ticket.hop + 1)
             answer = yield from self._call_others(attempt, call, allowance, parent)
@@ -174,10 +174,10 @@
 
     def _release(self) -> None:
         now = self.fleet.loop.now
-        released = self.admission.release(now)
+        released = self.admission.dequeue(now)
         for started in released.started:
             self._settle(started, None)
-        for dropped in released.dropped:
+        for dropped in released.expired:
             self._settle(dropped, ErrorKind.TOO_LATE_TO_START)
 
     def _settle(self, ticket: Ticket, kind: ErrorKind | None) -> None:
--- a/dunlinsaddle/replay/run.py
+++ b/dunlinsaddle/replay/run.py
@@ -100,7 +100,7 @@
             slots = trace.services[service].slots
             limit = FixedLimit(slots, record.connections)
             return NaiveNode(self.fleet, instance, target, limit, router)
-        admission = Admission.of(record)
+        admission = Admission.from_record(record)
         levels = ChainLevels() if self.policy == 'current' else None
         return CurrentNode(self.fleet, instance, target, admission, router, levels)
 
--- a/standins/stages.py
+++ b/standins/stages.py
@@ -111,16 +111,16 @@
         number += 1
         now += 0.0001
         ticket = Ticket(number, 200, now, now + 5)
-        admission.arrive(now, ticket)
+        admission.admit(now, ticket)
         admission.finish(now, ticket, Sample('default', 0.0001, completed=True))
-        admission.release(now)
+        admission.dequeue(now)
         admission.load(now)
 
     def tick() -> None:
         nonlocal now
         now += 0.11
         for slot in range(25):
-            level.arrived(260 + slot)
+            level.record_arrival(260 + slot)
         level.update(now, 200.0)
 
     def route() -> None:
--- a/tests/ablation.py
+++ b/tests/ablation.py
@@ -23,7 +23,7 @@
 from dunlinsaddle.policy import level, slots
 from dunlinsaddle.policy.admission import Ticket
 from dunlinsaddle.policy.context import SLOTS_PER_RANK
-from dunlinsaddle.policy.waiting import Ahead, WaitingCalls
+from dunlinsaddle.policy.wait_queue import QueuedWork, WaitQueue
 from tests.fakes.deep_load import DeepLoad, Kind, Pattern, Share
 from tests.test_deep_load import (
     ALIKE,
@@ -60,28 +60,28 @@
 
 
 def _by_arrival(ticket: Ticket) -> tuple[float, int]:
-    return ticket.arrived, ticket.call_id
+    return ticket.arrived_at, ticket.call_id
 
 
 def _calls_first(ticket: Ticket) -> tuple[int, int, int, float]:
     rank = ticket.level // SLOTS_PER_RANK
-    return rank, 0 if ticket.hop else 1, ticket.level, ticket.arrived
+    return rank, 0 if ticket.hop else 1, ticket.level, ticket.arrived_at
 
 
-class _WaitingInOrder(WaitingCalls):
+class _WaitingInOrder(WaitQueue):
     """Calls in another order, in which the work ahead of one is added up."""
 
     def __init__(self, order: Order, seconds_of: Callable[[str], float]) -> None:
         super().__init__(seconds_of)
         self._calls = SortedKeyList(key=order)
 
-    def ahead_of(self, ticket: Ticket) -> Ahead:
+    def ahead_of(self, ticket: Ticket) -> QueuedWork:
         ahead = list(islice(self._calls, self._calls.bisect_left(ticket)))
-        return Ahead(len(ahead), sum(self._seconds_of(waiting.rule) for waiting in ahead))
+        return QueuedWork(len(ahead), sum(self._seconds_of(waiting.rule) for waiting in ahead))
 
 
 def _ordered(order: Order) -> AbstractContextManager[Any]:
-    return patch.object(slots, 'WaitingCalls', partial(_WaitingInOrder, order))
+    return patch.object(slots, 'WaitQueue', partial(_WaitingInOrder, order))
 
 
 class Off(NamedTuple):
@@ -98,11 +98,15 @@
     'order by level': Off(replaced=lambda: _ordered(_by_arrival)),
     'one order for calls and others': Off(replaced=lambda: _ordered(_calls_first)),
     'rules held back': Off({'by_outcome': False}),
-    'opening when slots are free': Off(replaced=lambda: patch.object(level, 'OPEN_AFTER', NEVER)),
-    'wait for calls to come': Off(replaced=lambda: patch.object(slots, 'LEAST_LEFT', 1.0)),
-    '95 % of the slots (94 %)': Off(replaced=lambda: patch.object(slots, 'USED_SHARE', 0.94)),
+    'opening when slots are free': Off(
+        replaced=lambda: patch.object(level, 'IDLE_SECONDS_TO_OPEN', NEVER)
+    ),
+    'wait for calls to come': Off(replaced=lambda: patch.object(slots, 'MIN_CAPACITY_SHARE', 1.0)),
+    '95 % of the slots (94 %)': Off(
+        replaced=lambda: patch.object(slots, 'USABLE_SLOT_SHARE', 0.94)
+    ),
     'return within the objective': Off(
-        replaced=lambda: patch.object(level, 'COME_BACK_SHARE', NEVER)
+        replaced=lambda: patch.object(level, 'RETRY_AFTER_SHARE', NEVER)
     ),
 }
 
--- a/tests/builders.py
+++ b/tests/builders.py
@@ -19,8 +19,8 @@
 from dunlinsaddle.platform.configuration import read_configuration
 from dunlinsaddle.platform.store import ObjectStore
 from dunlinsaddle.policy.admission import Ticket
+from dunlinsaddle.policy.concurrency_limit import AdaptiveLimit
 from dunlinsaddle.policy.context import CallContext, Priority
-from dunlinsaddle.policy.limit import AdaptiveLimit
 from dunlinsaddle.policy.retry import RetryAllowance
 from dunlinsaddle.records.book import RecordBook
 from dunlinsaddle.records.changes import Change
@@ -154,7 +154,7 @@
 
 
 def build_ticket(call_id: int = 1, **changes: Any) -> Ticket:
-    return Ticket(call_id, level=200, arrived=0.0, deadline=10.0)._replace(**changes)
+    return Ticket(call_id, level=200, arrived_at=0.0, deadline=10.0)._replace(**changes)
 
 
 def build_work(tokens: int = 3, **changes: Any) -> Work:
@@ -245,14 +245,14 @@
             end, began, cohort = heappop(self._ends)
             self.now = end
             self.inflight -= 1
-            limit.finished(end, cohort, 'read', end - began)
+            limit.record_finish(end, cohort, 'read', end - began)
 
     def _start(self, limit: AdaptiveLimit) -> None:
         self.inflight += 1
         begin = max(self.now, heappop(self._free))
         end = begin + self.service_time * (0.5 + 0.5 * self.rng.expovariate(1.0))
         heappush(self._free, end)
-        heappush(self._ends, (end, self.now, limit.started(self.inflight)))
+        heappush(self._ends, (end, self.now, limit.record_start(self.inflight)))
 
 
 def build_route(name: str = 'r', **changes: Any) -> dict[str, Any]:
--- a/tests/fakes/deep_load.py
+++ b/tests/fakes/deep_load.py
@@ -12,9 +12,9 @@
 
 from dunlinsaddle.policy.admission import Load, Refuse, Sample, Ticket, Wait
 from dunlinsaddle.policy.context import LOWEST_LEVEL, SLOTS_PER_RANK, Priority
-from dunlinsaddle.policy.costs import Costs
-from dunlinsaddle.policy.level import ChainLevels, Heard
-from dunlinsaddle.policy.outcomes import Outcomes
+from dunlinsaddle.policy.failure_throttle import FailureThrottle
+from dunlinsaddle.policy.level import ChainLevels, ReportedLevel
+from dunlinsaddle.policy.request_costs import RequestCosts
 from dunlinsaddle.policy.retry_budget import RetryBudget
 from dunlinsaddle.policy.route import Candidate, Router
 from dunlinsaddle.policy.slots import SlotAdmission
@@ -84,7 +84,7 @@
         self.candidate = Candidate(instance, domain)
         self.factor = factor
         self.admission = SlotAdmission()
-        self.admission.announce(slots)
+        self.admission.set_slots(slots)
         self.waiting: dict[int, Process] = {}
         self.started: set[int] = set()
 
@@ -101,8 +101,8 @@
     """A node at which requests come in."""
 
     levels: ChainLevels
-    costs: Costs
-    outcomes: Outcomes
+    costs: RequestCosts
+    outcomes: FailureThrottle
 
 
 class DeepLoad(Events):
@@ -132,7 +132,9 @@
             f't{i}': Target(f't{i}', DOMAINS[i % 3], factor, slots)
             for i, factor in enumerate(factors)
         }
-        self.entries = [Entry(ChainLevels(), Costs(), Outcomes()) for _ in range(ENTRIES)]
+        self.entries = [
+            Entry(ChainLevels(), RequestCosts(), FailureThrottle()) for _ in range(ENTRIES)
+        ]
         self.callers = [
             CallingNode(Router(domain, Random(self.rng.random())), ChainLevels(), self._budget())
             for domain in DOMAINS
@@ -206,7 +208,7 @@
         entry = self.rng.choice(self.entries)
         priority = Priority(kind.rank, self.rng.randrange(SLOTS_PER_RANK))
         if self.by_cost:
-            priority = entry.costs.placed(self.now, kind.name, priority)
+            priority = entry.costs.adjust_priority(self.now, kind.name, priority)
         one = Try(kind, priority.level, deadline)
         if self.early:
             failure = entry.levels.check(
@@ -219,12 +221,12 @@
             return kind.objective / 2
         answer = yield from (self._chains if kind.chains else self._direct)(one, caller)
         for load in one.heard:
-            heard = Heard(load.level, load.age)
-            entry.levels.learn(self.now, 'deep', kind.name, heard)
+            heard = ReportedLevel(load.level, load.age)
+            entry.levels.record_response(self.now, 'deep', kind.name, heard)
         if answer in (True, False):
-            entry.outcomes.ended(self.now, kind.name, lost=answer is False)
+            entry.outcomes.record_end(self.now, kind.name, failed=answer is False)
         if answer is True:
-            entry.costs.learn(self.now, kind.name, kind.rank, one.cost)
+            entry.costs.record(self.now, kind.name, kind.rank, one.cost)
         return answer
 
     def _direct(self, one: Try, caller: CallingNode) -> Process:
@@ -240,17 +242,17 @@
             self._advance(self._chain(one, caller, ended))
         while len(ended) < one.kind.chains and False not in ended:
             yield 0.002
-        worst = caller.levels.worst(self.now, 'middle', Heard(LOWEST_LEVEL))
+        worst = caller.levels.lowest_in_chain(self.now, 'middle', ReportedLevel(LOWEST_LEVEL))
         one.heard.append(Load(level=worst.level, age=worst.age))
         return all(ended)
 
     def _chain(self, one: Try, caller: CallingNode, ended: list[bool]) -> Process:
         for _ in range(4):
-            caller.levels.called(self.now, 'middle', 'deep', 'call')
+            caller.levels.record_call(self.now, 'middle', 'deep', 'call')
             deadline, useful = self.now + CALL_DEADLINE, self.now + CALL_OBJECTIVE
             again, heard = yield from self._call(caller, one, 3, deadline, useful)
             for load in heard:
-                caller.levels.learn(self.now, 'deep', 'call', Heard(load.level))
+                caller.levels.record_response(self.now, 'deep', 'call', ReportedLevel(load.level))
             if again is not None:
                 ended.append(False)
                 return
@@ -278,7 +280,7 @@
             yield LINK
             ticket = build_ticket(
                 next(self.numbers),
-                arrived=self.now,
+                arrived_at=self.now,
                 level=one.level,
                 deadline=deadline,
                 rule='call' if hop else one.kind.name,
@@ -304,7 +306,7 @@
 
     def _admitted(self, target: Target, ticket: Ticket) -> Process:
         """Give None when a slot is free for the call, or seconds to come back."""
-        match target.admission.arrive(self.now, ticket):
+        match target.admission.admit(self.now, ticket):
             case Refuse(failure):
                 return failure.retry_after
             case Wait(evicted):
@@ -331,11 +333,11 @@
 
     def _ended(self, target: Target, ticket: Ticket, sample: Sample) -> None:
         target.admission.finish(self.now, ticket, sample)
-        released = target.admission.release(self.now)
+        released = target.admission.dequeue(self.now)
         for started in released.started:
             target.started.add(started.call_id)
             self._wake(target, started)
-        for dropped in released.dropped:
+        for dropped in released.expired:
             self._wake(target, dropped)
 
     def _wake(self, target: Target, ticket: Ticket) -> None:
--- a/tests/fakes/rated_load.py
+++ b/tests/fakes/rated_load.py
@@ -10,7 +10,7 @@
 from typing import NamedTuple
 
 from dunlinsaddle.policy.admission import Load, Sample, Ticket
-from dunlinsaddle.policy.rate import LEAST_RATE
+from dunlinsaddle.policy.rate_limit import MIN_RATE
 from dunlinsaddle.policy.route import Candidate, Router
 from tests.builders import build_ticket
 from tests.fakes.slots_load import ByNode, Events
@@ -39,7 +39,7 @@
         super().__init__(partial(load._start, self), partial(load._refuse, self))
         self.candidate = Candidate(f't{number}', f'd{number % DOMAINS}')
         self.rate = rate
-        self.admission.announce(SLOTS)
+        self.admission.set_slots(SLOTS)
         self.starts: list[float] = []
         self.refused = 0
 
@@ -90,7 +90,7 @@
         self._calls[number] = out
         ticket = build_ticket(
             number,
-            arrived=self.now,
+            arrived_at=self.now,
             level=out.level,
             deadline=out.began + 5.0,
             useful_until=out.began + OBJECTIVE,
@@ -105,7 +105,7 @@
 
     def _end(self, target: RatedTarget, ticket: Ticket, seconds: float) -> None:
         target.admission.finish(self.now, ticket, Sample(ticket.rule, seconds, completed=True))
-        target.admission.name_rate(self.now, target.rate)
+        target.admission.set_rate_limit(self.now, target.rate)
         out = self._calls.pop(ticket.call_id)
         self.ended['served'] += 1
         self.seconds.append(self.now + WAY - out.began)
@@ -120,8 +120,8 @@
 
     def _reply(self, target: RatedTarget, out: Out, then) -> None:
         load: Load = target.admission.load(self.now)
-        rate = None if target.rate is None else max(target.rate, LEAST_RATE)
-        use = target.admission.rate_use(self.now)
+        rate = None if target.rate is None else max(target.rate, MIN_RATE)
+        use = target.admission.rate_utilisation(self.now)
 
         def heard() -> None:
             name = target.candidate.instance
@@ -136,7 +136,7 @@
         self._wake(target)
 
     def _wake(self, target: RatedTarget) -> None:
-        seconds = target.admission.due_in(self.now)
+        seconds = target.admission.seconds_to_next_start(self.now)
         name = target.candidate.instance
         if seconds is None or name in self._due:
             return
--- a/tests/fakes/slots_load.py
+++ b/tests/fakes/slots_load.py
@@ -92,10 +92,10 @@
     def __init__(self, start: Start, refuse: Refusal) -> None:
         self.start, self.refuse = start, refuse
         self.admission = SlotAdmission()
-        self.admission.announce(SLOTS)
+        self.admission.set_slots(SLOTS)
 
     def arrive(self, now: float, ticket: Ticket) -> None:
-        match self.admission.arrive(now, ticket):
+        match self.admission.admit(now, ticket):
             case Run():
                 self.start(ticket)
             case Refuse(failure):
@@ -108,10 +108,10 @@
         self.release(now)
 
     def release(self, now: float) -> None:
-        released = self.admission.release(now)
+        released = self.admission.dequeue(now)
         for started in released.started:
             self.start(started)
-        for dropped in released.dropped:
+        for dropped in released.expired:
             self.refuse(dropped, 0.5)
 
 
@@ -179,7 +179,7 @@
         self._asked[number] = kind, began, resent
         ticket = build_ticket(
             number,
-            arrived=self.now,
+            arrived_at=self.now,
             level=300 - 100 * kind.hop,
             deadline=began + kind.deadline,
             rule=kind.name,
@@ -226,7 +226,7 @@
         self.rng = Random(seed)
         self.by_level = by_level
         self.admission = SlotAdmission()
-        self.admission.announce(SLOTS)
+        self.admission.set_slots(SLOTS)
         self._root_of: dict[int, tuple[int, int]] = {}
         self.begun = 0
         self.whole = 0
@@ -250,14 +250,14 @@
         self._root_of[number] = level, done
         ticket = build_ticket(
             number,
-            arrived=self.now,
+            arrived_at=self.now,
             level=level,
             deadline=self.now + CALLS.deadline,
             rule='call',
             hop=3,
             useful_until=self.now + CALLS.objective,
         )
-        match self.admission.arrive(self.now, ticket):
+        match self.admission.admit(self.now, ticket):
             case Run():
                 self._start(ticket)
             case Wait(evicted) if evicted is not None:
@@ -274,5 +274,5 @@
         else:
             self.at(self.now + 0.005, lambda: self._call(level, done + 1))
         self.admission.finish(self.now, ticket, Sample(ticket.rule, seconds, completed=True))
-        for started in self.admission.release(self.now).started:
+        for started in self.admission.dequeue(self.now).started:
             self._start(started)
--- a/tests/test_ablation.py
+++ b/tests/test_ablation.py
@@ -11,18 +11,20 @@
         """Give the order in which calls start that wait, by their ids, with a mechanism off."""
         with WITHOUT[without].replaced():
             admission = SlotAdmission()
-            admission.announce(1)
+            admission.set_slots(1)
             first = build_ticket(0, deadline=99.0)
-            self.assertIsInstance(admission.arrive(0.0, first), Run)
+            self.assertIsInstance(admission.admit(0.0, first), Run)
             admission.finish(0.0, first, Sample('default', 0.01, True))
-            self.assertIsInstance(admission.arrive(0.0, first), Run)
+            self.assertIsInstance(admission.admit(0.0, first), Run)
             for number, level, hop in ((1, 310, 0), (2, 300, 0), (3, 320, 3)):
-                ticket = build_ticket(number, level=level, hop=hop, arrived=number, deadline=99.0)
-                self.assertIsInstance(admission.arrive(0.0, ticket), Wait)
+                ticket = build_ticket(
+                    number, level=level, hop=hop, arrived_at=number, deadline=99.0
+                )
+                self.assertIsInstance(admission.admit(0.0, ticket), Wait)
             started = []
             for _ in range(3):
                 admission.finish(0.0, first, Sample('default', 0.01, True))
-                started += [t.call_id for t in admission.release(0.0).started]
+                started += [t.call_id for t in admission.dequeue(0.0).started]
         return started
 
     def test_every_mechanism_can_still_be_switched_off(self):
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -12,7 +12,7 @@
 from dunlinsaddle.errors import ErrorKind, Failure, Outcome
 from dunlinsaddle.membership.view import MemberView
 from dunlinsaddle.policy.admission import Admission
-from dunlinsaddle.policy.level import Heard
+from dunlinsaddle.policy.level import ReportedLevel
 from dunlinsaddle.policy.quarantine import Quarantine, Quarantined
 from dunlinsaddle.policy.route import Router
 from dunlinsaddle.settings import Address
@@ -144,7 +144,7 @@
             )
             dispatcher.once = FakeGate()
             now = asyncio.get_running_loop().time()
-            executor.levels.learn(now, 'cut-orders', 'read', Heard(-1.0))
+            executor.levels.record_response(now, 'cut-orders', 'read', ReportedLevel(-1.0))
             keyed = await dispatcher.dispatch(build_work(key='a-key', idempotent=False))
             plain = await dispatcher.dispatch(build_work())
             return keyed, plain
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -183,7 +183,7 @@
             for connections in (300, 3):
                 await site.write('slab-stock', targets={'connections': connections})
                 await asyncio.sleep(2)
-                found.append(site.nodes['yard-1'].admission.most)
+                found.append(site.nodes['yard-1'].admission.max_inflight)
             return found
 
         self.assertEqual([300, 3], self.with_site(use))
--- a/tests/test_level_news.py
+++ b/tests/test_level_news.py
@@ -9,7 +9,7 @@
 from dunlinsaddle.membership.messages import Level, Sealer
 from dunlinsaddle.mesh.levels import ROUND_SECONDS
 from dunlinsaddle.policy.context import LOWEST_LEVEL
-from dunlinsaddle.policy.level import ChainLevels, Heard
+from dunlinsaddle.policy.level import ChainLevels, ReportedLevel
 from tests.builders import build_member
 from tests.fakes.network import Machines
 from tests.mesh_case import MeshTest
@@ -23,7 +23,7 @@
     """Give the shares of requests let in beyond the level, and refused below it, at one entry."""
     rng = Random(8)
     levels = ChainLevels()
-    levels.learn(0.0, 'deep', 'lookup', Heard(ADMITTED))
+    levels.record_response(0.0, 'deep', 'lookup', ReportedLevel(ADMITTED))
     answers: list[float] = []
     beyond = vain = within = refused = 0
     now, told = 0.0, 0.0
@@ -31,9 +31,9 @@
         now += rng.expovariate(rate)
         while news and told + ROUND_SECONDS < now:
             told += rng.expovariate(WORDS_A_ROUND / ROUND_SECONDS)
-            levels.hear(told, 'deep', Heard(ADMITTED + rng.uniform(-5, 5)))
+            levels.record_level(told, 'deep', ReportedLevel(ADMITTED + rng.uniform(-5, 5)))
         while answers and answers[0] <= now:
-            levels.learn(answers.pop(0), 'deep', 'lookup', Heard(ADMITTED))
+            levels.record_response(answers.pop(0), 'deep', 'lookup', ReportedLevel(ADMITTED))
         level = rng.randrange(256, LOWEST_LEVEL + 1)
         failure = levels.check(now, 'deep', 'lookup', level)
         if failure is None:
@@ -108,10 +108,10 @@
             await asyncio.sleep(2)
             await mesh.call('a', '/deep/x')
             levels = mesh.nodes['a'].executor.levels
-            free = levels.admitted(asyncio.get_running_loop().time(), 'deep', 'deep')
+            free = levels.admitted_level(asyncio.get_running_loop().time(), 'deep', 'deep')
             flood = [asyncio.create_task(self.press(mesh, 'c', began=n / 100)) for n in range(300)]
             await asyncio.sleep(2.9)
-            full = levels.admitted(asyncio.get_running_loop().time(), 'deep', 'deep')
+            full = levels.admitted_level(asyncio.get_running_loop().time(), 'deep', 'deep')
             await asyncio.gather(*flood)
             return free, full
 
--- a/tests/test_outcomes.py
+++ b/tests/test_outcomes.py
@@ -2,49 +2,51 @@
 
 from testtools import TestCase
 
-from dunlinsaddle.policy.outcomes import LEAST_ADMITTED, Outcomes
+from dunlinsaddle.policy.failure_throttle import MIN_ADMITTED_SHARE, FailureThrottle
 from tests.mesh_case import MeshTest
 from tests.test_deep_load import ALIKE, ALIKE_SLOTS, ALL_SHED, shares
 
 
 class OutcomesTest(TestCase):
-    def admitted(self, outcomes: Outcomes, now: float, count: int = 400) -> float:
+    def admitted(self, outcomes: FailureThrottle, now: float, count: int = 400) -> float:
         return sum(outcomes.admits(now, 'lookup') for _ in range(count)) / count
 
-    def ended(self, whole: float, seconds: float, outcomes: Outcomes, began: float = 0.0) -> None:
+    def ended(
+        self, whole: float, seconds: float, outcomes: FailureThrottle, began: float = 0.0
+    ) -> None:
         rng = Random(3)
         for step in range(int(seconds * 10)):
-            outcomes.ended(began + step / 10, 'lookup', lost=rng.random() >= whole)
+            outcomes.record_end(began + step / 10, 'lookup', failed=rng.random() >= whole)
 
     def test_all_are_let_in_while_they_are_whole(self):
-        outcomes = Outcomes()
+        outcomes = FailureThrottle()
         self.ended(0.97, 5, outcomes)
         self.assertEqual(1.0, self.admitted(outcomes, 5.0))
 
     def test_a_rule_that_is_never_whole_is_let_in_to_find_out_only(self):
         # Nearly all requests fail three hops down: what they use up there is missing elsewhere.
-        outcomes = Outcomes()
+        outcomes = FailureThrottle()
         self.ended(0.0, 5, outcomes)
-        self.assertAlmostEqual(LEAST_ADMITTED, self.admitted(outcomes, 5.0), delta=0.1)
+        self.assertAlmostEqual(MIN_ADMITTED_SHARE, self.admitted(outcomes, 5.0), delta=0.1)
 
     def test_what_half_of_is_whole_is_not_held_back(self):
-        outcomes = Outcomes()
+        outcomes = FailureThrottle()
         self.ended(0.6, 5, outcomes)
         self.assertGreater(self.admitted(outcomes, 5.0), 0.9)
 
     def test_it_is_open_again_soon_after_the_calls_are_taken_again(self):
         # Callers are refused though all would be served: only those let in show that.
-        outcomes = Outcomes()
+        outcomes = FailureThrottle()
         self.ended(0.0, 5, outcomes)
         now = 5.0
         for step in range(15):
             now = 5.0 + step / 10
             if outcomes.admits(now, 'lookup'):
-                outcomes.ended(now, 'lookup', lost=False)
+                outcomes.record_end(now, 'lookup', failed=False)
         self.assertGreater(self.admitted(outcomes, now), 0.9)
 
     def test_other_rules_are_not_held_back(self):
-        outcomes = Outcomes()
+        outcomes = FailureThrottle()
         self.ended(0.0, 5, outcomes)
         self.assertTrue(all(outcomes.admits(5.0, 'map') for _ in range(50)))
 
--- a/tests/test_sliding.py
+++ b/tests/test_sliding.py
@@ -2,7 +2,7 @@
 
 from testtools import TestCase
 
-from dunlinsaddle.policy.sliding import SlidingCount
+from dunlinsaddle.policy.sliding_count import SlidingCount
 
 
 class SlidingCountTest(TestCase):
@@ -29,5 +29,5 @@
         count.add(1.0, 2)
         self.assertEqual(2, count.total(1.0, 10))
         for left in (1, 0, 0):
-            count.take_back()
+            count.remove_one()
             self.assertEqual(left, count.total(1.0, 10))
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -10,16 +10,16 @@
 class SlotAdmissionTest(TestCase):
     def admission(self, slots=10, seconds=0.1):
         admission = SlotAdmission()
-        admission.announce(slots)
+        admission.set_slots(slots)
         for number in range(3):
             ticket = build_ticket(-1 - number)
-            admission.arrive(0.0, ticket)
+            admission.admit(0.0, ticket)
             admission.finish(0.0, ticket, Sample('default', seconds, True))
         return admission
 
     def fill(self, admission, **fields):
         number = 1000
-        while isinstance(admission.arrive(0.0, build_ticket(number, **fields)), Run):
+        while isinstance(admission.admit(0.0, build_ticket(number, **fields)), Run):
             number += 1
         return number - 1000
 
@@ -33,14 +33,14 @@
         # protected by the entries, which refuse the requests whose calls would be refused.
         admission = self.admission()
         self.fill(admission, level=100)
-        admission.arrive(0.0, build_ticket(1, level=310, hop=3))
-        admission.arrive(0.0, build_ticket(2, level=300))
-        admission.arrive(0.0, build_ticket(3, level=120, hop=3))
+        admission.admit(0.0, build_ticket(1, level=310, hop=3))
+        admission.admit(0.0, build_ticket(2, level=300))
+        admission.admit(0.0, build_ticket(3, level=120, hop=3))
         running = build_ticket(1000, level=100)
         started = []
         for _ in range(4):
             admission.finish(0.1, running, Sample('default', 0.1, True))
-            started += [t.call_id for t in admission.release(0.1).started]
+            started += [t.call_id for t in admission.dequeue(0.1).started]
         self.assertEqual([3, 2, 1], started[1:])
 
     def test_the_level_that_fills_the_slots_is_told_with_the_load(self):
@@ -55,11 +55,11 @@
             while running and running[0][0] <= now:
                 ended = running.pop(0)[1]
                 admission.finish(now, ended, Sample('default', 0.1, True))
-                running += [(now + 0.1, ticket) for ticket in admission.release(now).started]
+                running += [(now + 0.1, ticket) for ticket in admission.dequeue(now).started]
             ticket = build_ticket(
-                number, level=256 + number * 37 % 128, arrived=now, deadline=now + 0.3
+                number, level=256 + number * 37 % 128, arrived_at=now, deadline=now + 0.3
             )
-            if isinstance(admission.arrive(now, ticket), Run):
+            if isinstance(admission.admit(now, ticket), Run):
                 running.append((now + 0.1, ticket))
         self.assertGreater(admission.load(now).level, 256 + 128 * 0.35)
         self.assertLess(admission.load(now).level, 256 + 128 * 0.65)
@@ -67,7 +67,7 @@
     def test_what_cannot_be_answered_in_time_is_refused_at_once(self):
         admission = self.admission(seconds=0.4)
         self.fill(admission, deadline=60.0)
-        verdict = admission.arrive(0.0, build_ticket(1, deadline=0.3))
+        verdict = admission.admit(0.0, build_ticket(1, deadline=0.3))
         self.assertIsInstance(verdict, Refuse)
         self.assertEqual(ErrorKind.OVERLOADED, verdict.failure.kind)
         self.assertGreater(verdict.failure.retry_after, 0.0)
@@ -76,16 +76,16 @@
         admission = self.admission(seconds=0.4)
         self.fill(admission, deadline=60.0)
         late = build_ticket(1, deadline=60.0, useful_until=0.2)
-        self.assertIsInstance(admission.arrive(0.0, late), Refuse)
+        self.assertIsInstance(admission.admit(0.0, late), Refuse)
 
     def test_the_last_in_the_queue_goes_as_soon_as_it_would_be_late(self):
         # A wave of calls that go first pushes it back: told at once, its caller has the time
         # to come again; told at the end of its wait, it has not.
         admission = self.admission(slots=1, seconds=0.1)
         self.fill(admission, deadline=60.0)
-        self.assertIsInstance(admission.arrive(0.0, build_ticket(5, deadline=0.35)), Wait)
+        self.assertIsInstance(admission.admit(0.0, build_ticket(5, deadline=0.35)), Wait)
         verdicts = [
-            admission.arrive(0.0, build_ticket(10 + n, level=100, deadline=60.0)) for n in range(3)
+            admission.admit(0.0, build_ticket(10 + n, level=100, deadline=60.0)) for n in range(3)
         ]
         evicted = [v.evicted.call_id for v in verdicts if v.evicted is not None]
         self.assertEqual([5], evicted)
@@ -94,7 +94,7 @@
         admission = self.admission(slots=1, seconds=1.0)
         self.fill(admission, deadline=60.0)
         times = {
-            admission.arrive(0.0, build_ticket(n, deadline=0.5)).failure.retry_after
+            admission.admit(0.0, build_ticket(n, deadline=0.5)).failure.retry_after
             for n in range(1, 9)
         }
         self.assertEqual(8, len(times))
@@ -106,7 +106,7 @@
         # slots as a whole would serve in time waits for what these leave: told at once, its
         # caller comes again; told after the wait, it has lost the time.
         admission = SlotAdmission()
-        admission.announce(20)
+        admission.set_slots(20)
         number = 0
         running = []
         for step in range(300):
@@ -114,17 +114,17 @@
             while admission.inflight < 16:
                 number += 1
                 ticket = build_ticket(number, hop=1, level=100, deadline=now + 5, rule='inner')
-                self.assertIsInstance(admission.arrive(now, ticket), Run)
+                self.assertIsInstance(admission.admit(now, ticket), Run)
                 running.append(ticket)
             for ticket in running[:5]:
                 admission.finish(now, ticket, Sample('inner', 0.03, True))
             running = running[5:]
         entry = build_ticket(9001, level=300, rule='view', deadline=99.0)
-        admission.arrive(3.0, entry)
+        admission.admit(3.0, entry)
         admission.finish(3.0, entry, Sample('view', 0.5, True))
         verdicts = [
-            admission.arrive(
-                3.0, build_ticket(9100 + n, level=300, rule='view', arrived=3.0, deadline=4.5)
+            admission.admit(
+                3.0, build_ticket(9100 + n, level=300, rule='view', arrived_at=3.0, deadline=4.5)
             )
             for n in range(30)
         ]
