--- a/dunlinsaddle/access/gate.py
+++ b/dunlinsaddle/access/gate.py
@@ -3,7 +3,7 @@
 from result import Err, Ok, Result
 
 from dunlinsaddle.access.freshness import Freshness
-from dunlinsaddle.calls.work import Running, derives_from_another
+from dunlinsaddle.calls.call_state import RunningCall, is_derived_request_id
 from dunlinsaddle.errors import ErrorKind, Failure
 from dunlinsaddle.platform.requests import CallerTerms
 from dunlinsaddle.records.models import Rank
@@ -67,7 +67,7 @@
         terms: CallerTerms,
         table: RouteTable,
         route: Route,
-        parent: Running | None,
+        parent: RunningCall | None,
         *,
         settled: bool,
     ) -> Result[Holder, Failure]:
@@ -83,7 +83,7 @@
             return Ok(None)
         if route.public:
             return Ok(None if self.freshness.lapsed else table.holder(terms.key))
-        if not terms.key and derives_from_another(terms.request_id):
+        if not terms.key and is_derived_request_id(terms.request_id):
             return Err(Failure(ErrorKind.PARENT_UNKNOWN, '', ORPHAN_COME_BACK))
         if terms.key and self.freshness.lapsed:
             return Err(Failure(ErrorKind.STALE_CONFIGURATION, 'no proof', STALE_COME_BACK))
--- a/dunlinsaddle/calls/accepted.py
+++ b/dunlinsaddle/calls/accepted_connection.py
@@ -28,7 +28,7 @@
 MAX_TARGET_BYTES = 8192  #: of a path with its query; RFC 9110, 4.1 asks for 8,000 at least
 CONTINUE = b'HTTP/1.1 100 Continue\r\n\r\n'
 #: Requests of these methods may run beside others of their connection.
-REPEATABLE_METHODS = frozenset({b'GET', b'HEAD', b'OPTIONS'})
+SAFE_METHODS = frozenset({b'GET', b'HEAD', b'OPTIONS'})
 
 Handler = Callable[[HttpRequest], Awaitable[HttpResponse]]
 
@@ -192,7 +192,7 @@
         if len(self.answering) >= self.face.pipeline:
             return False
         # RFC 9112, 9.3.2: one that changes something waits for those before it.
-        return method in REPEATABLE_METHODS and self.answering[-1].method in REPEATABLE_METHODS
+        return method in SAFE_METHODS and self.answering[-1].method in SAFE_METHODS
 
     def _advance(self) -> None:
         """Begin what may begin, and read on when all that was read has begun."""
--- a/dunlinsaddle/calls/work.py
+++ b/dunlinsaddle/calls/call_state.py
@@ -19,7 +19,7 @@
 _numbers = itertools.count()
 
 
-class Waits:
+class WaitTime:
     """How long one call waited for a peer, a slot or the target, in seconds."""
 
     __slots__ = ('seconds',)
@@ -37,7 +37,7 @@
     seconds: float
 
 
-class Work(NamedTuple):
+class PendingCall(NamedTuple):
     """A call with its context, and the retry tokens that it may still spend."""
 
     ctx: CallContext
@@ -46,20 +46,20 @@
     headers: Headers
     body: bytes
     allowance: RetryAllowance
-    waits: Waits | None = None  #: None where nobody asks
+    waits: WaitTime | None = None  #: None where nobody asks
     attempts: list[Attempt] | None = None  #: sends so far; None where nobody asks
 
 
-def call_of(work: Work, now: float, handed: int, told: Told | None = None) -> Call:
+def build_call_frame(call: PendingCall, now: float, handed: int, told: Told | None = None) -> Call:
     """Give the frame that hands a call to another node."""
-    ctx = work.ctx
+    ctx = call.ctx
     return Call(
         id=0,
         service=ctx.service,
-        method=work.method,
-        path=work.path,
-        headers=work.headers,
-        body=work.body,
+        method=call.method,
+        path=call.path,
+        headers=call.headers,
+        body=call.body,
         request_id=ctx.request_id,
         caller=ctx.caller,
         rule=ctx.rule,
@@ -79,65 +79,67 @@
     )
 
 
-def work_of(call: Call, now: float) -> Work:
+def read_call_frame(frame: Call, now: float) -> PendingCall:
     """Give the call that a frame brought; its deadline is counted from its arrival."""
     ctx = CallContext(
-        request_id=call.request_id,
-        caller=call.caller,
-        service=call.service,
-        rule=call.rule,
-        priority=Priority(Rank(call.rank), call.slot),
-        deadline=now + call.budget,
-        allowance=call.allowance,
-        hop=call.hop,
-        idempotent=call.idempotent,
-        key=call.key,
-        fingerprint=call.fingerprint,
-        deaths=call.deaths,
-        useful_until=now + call.useful,
-        is_resend=call.repeated,
-        organisation=call.organisation,
+        request_id=frame.request_id,
+        caller=frame.caller,
+        service=frame.service,
+        rule=frame.rule,
+        priority=Priority(Rank(frame.rank), frame.slot),
+        deadline=now + frame.budget,
+        allowance=frame.allowance,
+        hop=frame.hop,
+        idempotent=frame.idempotent,
+        key=frame.key,
+        fingerprint=frame.fingerprint,
+        deaths=frame.deaths,
+        useful_until=now + frame.useful,
+        is_resend=frame.repeated,
+        organisation=frame.organisation,
+    )
+    allowance = RetryAllowance(frame.allowance)
+    return PendingCall(
+        ctx, frame.method, frame.path, frame.headers, frame.body, allowance, WaitTime()
     )
-    allowance = RetryAllowance(call.allowance)
-    return Work(ctx, call.method, call.path, call.headers, call.body, allowance, Waits())
 
 
-def count_added(stats: Stats, work: Work, reply: Reply, took: float) -> None:
+def record_added_latency(stats: Stats, call: PendingCall, reply: Reply, took: float) -> None:
     """Count what this node added to an answered call that was here for ``took`` seconds.
 
     Calls that run once at most also wait for the owner of their key, which is not known here,
     so they are left out.
     """
-    if work.waits is not None and work.ctx.idempotent and reply.outcome is Outcome.DONE:
-        stats.added(max(took - work.waits.seconds, 0.0))
+    if call.waits is not None and call.ctx.idempotent and reply.outcome is Outcome.DONE:
+        stats.added(max(took - call.waits.seconds, 0.0))
 
 
-class Running:
+class RunningCall:
     """A call that the local target is running, and the calls it makes meanwhile."""
 
     def __init__(
-        self, work: Work, now: float, on_wait: Callable[[float, bool], None] | None = None
+        self, call: PendingCall, now: float, on_wait: Callable[[float, bool], None] | None = None
     ) -> None:
-        self.work = work
+        self.call = call
         self.token = f'{_FIRST}{next(_numbers):x}'
         self.started = now
         self.children: set[asyncio.Task[object]] = set()
-        self.failed_call = ''  #: the deepest cause of a call of its that failed
-        self.cost_below = 0.0  #: of its calls, in seconds of a whole target of their service
-        self.come_back_after = 0.0  #: seconds, as a call that was refused below was told
+        self.downstream_failure = ''  #: the deepest cause of a call of its that failed
+        self.downstream_cost = 0.0  #: of its calls, in seconds of a whole target of their service
+        self.downstream_retry_after = 0.0  #: seconds, as a call that was refused below was told
         self._on_wait = on_wait
         self._open = 0
         self._opened_at = 0.0
         self._away = 0.0
 
-    def leave(self, now: float) -> None:
+    def begin_downstream_wait(self, now: float) -> None:
         """Note that the target begins to wait for another service."""
         if not self._open:
             self._opened_at = now
             self._tell(now, waits=True)
         self._open += 1
 
-    def come_back(self, now: float) -> None:
+    def end_downstream_wait(self, now: float) -> None:
         """Note the end of one such wait."""
         self._open -= 1
         if not self._open:
@@ -148,7 +150,7 @@
         if self._on_wait is not None:
             self._on_wait(now, waits)
 
-    def own_time(self, now: float) -> float:
+    def processing_seconds(self, now: float) -> float:
         """Give the seconds that the target spent itself.
 
         A target that waits for a slow service is not overloaded: with that wait counted in,
@@ -162,21 +164,21 @@
     """The calls in progress at the local target, by the token that the target passes on."""
 
     def __init__(self) -> None:
-        self._calls: dict[str, Running] = {}
-        self._by_request: dict[str, Running] = {}
+        self._calls: dict[str, RunningCall] = {}
+        self._by_request: dict[str, RunningCall] = {}
         self._idle = asyncio.Event()
         self._idle.set()
 
-    def add(self, running: Running) -> None:
+    def add(self, running: RunningCall) -> None:
         """Note a call that is about to be given to the target."""
         self._calls[running.token] = running
-        self._by_request[running.work.ctx.request_id] = running
+        self._by_request[running.call.ctx.request_id] = running
         self._idle.clear()
 
-    def end(self, running: Running) -> None:
+    def remove(self, running: RunningCall) -> None:
         """Note its end; calls it still has out are cancelled, for nobody waits for them."""
         self._calls.pop(running.token, None)
-        request_id = running.work.ctx.request_id
+        request_id = running.call.ctx.request_id
         if self._by_request.get(request_id) is running:
             del self._by_request[request_id]
         for task in list(running.children):
@@ -188,11 +190,11 @@
         """Wait until none is in progress."""
         await self._idle.wait()
 
-    def find(self, token: str) -> Running | None:
+    def find(self, token: str) -> RunningCall | None:
         """Give the call that a token belongs to."""
         return self._calls.get(token)
 
-    def parent_of(self, request_id: str) -> Running | None:
+    def find_parent(self, request_id: str) -> RunningCall | None:
         """Give the call that a request is made for, by its id; None if none is known.
 
         Targets that pass no token derive the ids of their calls from the id that they work for:
@@ -205,7 +207,7 @@
         return len(self._calls)
 
 
-def derives_from_another(request_id: str) -> bool:
+def is_derived_request_id(request_id: str) -> bool:
     """Say whether an id has the form of those that targets give to their calls."""
     return bool(_parent_id(request_id))
 
@@ -217,14 +219,14 @@
     return request_id[: end - 1] if end > 1 else ''
 
 
-def come_back_after(reply: Reply, running: Running) -> float:
+def downstream_retry_after(reply: Reply, running: RunningCall) -> float:
     """Give the seconds after which a call that failed for a refusal below may come again.
 
     Targets answer a refused call of theirs with a status of their own, mostly 502 and without
     Retry-After. The caller would ask again at once, and the routers would take the overload of
     a service below for a fault of this target.
     """
-    failed = reply.status >= FIRST_ERROR_STATUS and running.work.ctx.idempotent
+    failed = reply.status >= FIRST_ERROR_STATUS and running.call.ctx.idempotent
     if not failed or any(name == b'retry-after' for name, _ in reply.headers):
         return 0.0
-    return running.come_back_after
+    return running.downstream_retry_after
--- a/dunlinsaddle/calls/deaths.py
+++ b/dunlinsaddle/calls/crash_notifier.py
@@ -11,7 +11,7 @@
 from dunlinsaddle.policy.quarantine import Quarantine
 
 
-class DeathNews(OnLoop):
+class CrashNotifier(OnLoop):
     """Tells other nodes of deaths here, and takes what they tell.
 
     The caller of a request that killed its target sends it again at once, by any entry: only
@@ -31,7 +31,7 @@
         self.logger = logger
         self._tasks: set[asyncio.Task[bool]] = set()
 
-    def tell(self, fingerprint: int, deaths: int) -> None:
+    def broadcast(self, fingerprint: int, deaths: int) -> None:
         """Warn the nodes that the request could reach next."""
         extra = {'fingerprint': f'{fingerprint:016x}', 'deaths': deaths}
         self.logger.warning('target died while it ran a request', extra=extra)
@@ -41,7 +41,7 @@
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
 
-    def hear(self, frame: Deaths) -> None:
+    def receive(self, frame: Deaths) -> None:
         """Take the word of another node."""
         self.quarantine.merge_deaths(self.now(), frame.fingerprint, frame.deaths)
 
--- a/dunlinsaddle/calls/decisions.py
+++ b/dunlinsaddle/calls/decisions.py
@@ -10,10 +10,10 @@
 from collections import Counter
 from enum import StrEnum
 
+from dunlinsaddle.calls.call_state import PendingCall
 from dunlinsaddle.calls.http import FIRST_ERROR_STATUS
 from dunlinsaddle.calls.messages import Reply
 from dunlinsaddle.calls.target import Said
-from dunlinsaddle.calls.work import Work
 from dunlinsaddle.errors import Failure, Outcome
 from dunlinsaddle.loops import OnLoop
 from dunlinsaddle.policy.admission import Load
@@ -64,7 +64,7 @@
         self._written: Counter[Event] = Counter()
         self._omitted: Counter[Event] = Counter()
 
-    def routed(self, work: Work, version: int) -> None:
+    def routed(self, work: PendingCall, version: int) -> None:
         """Note the route and terms of a request, and the configuration they come from."""
         if self._has_room(Event.ROUTED):
             ctx = work.ctx
@@ -161,7 +161,7 @@
                 seconds_left=_rounded(ctx.deadline - self.now()),
             )
 
-    def ended(self, work: Work, reply: Reply, seconds: float, version: int) -> None:
+    def ended(self, work: PendingCall, reply: Reply, seconds: float, version: int) -> None:
         """Note the answer that the caller gets, with all sends that led to it."""
         failed = reply.outcome is not Outcome.DONE or reply.status >= FIRST_ERROR_STATUS
         event = Event.FAILED if failed else Event.ANSWERED
--- a/dunlinsaddle/calls/execute.py
+++ b/dunlinsaddle/calls/execute.py
@@ -4,14 +4,19 @@
 from collections.abc import Callable
 from functools import partial
 
+from dunlinsaddle.calls.call_state import (
+    PendingCall,
+    RunningCall,
+    RunningCalls,
+    downstream_retry_after,
+)
 from dunlinsaddle.calls.client import HttpClient
 from dunlinsaddle.calls.connection import Answered
 from dunlinsaddle.calls.decisions import DecisionLog
 from dunlinsaddle.calls.http import FIRST_ERROR_STATUS, HttpRequest, HttpResponse
 from dunlinsaddle.calls.messages import Lost, NotSent, Reply, Told, refusal
 from dunlinsaddle.calls.target import LocalTarget, PlainDialect, Said, TargetDialect
-from dunlinsaddle.calls.waiters import COME_BACK, End, Waiters
-from dunlinsaddle.calls.work import Running, RunningCalls, Work, come_back_after
+from dunlinsaddle.calls.waiters import RETRY_AFTER_SECONDS, AdmissionFuture, Waiters
 from dunlinsaddle.errors import ErrorKind, Failure
 from dunlinsaddle.loops import OnLoop
 from dunlinsaddle.policy.admission import (
@@ -33,7 +38,7 @@
 
 
 #: Hears what the target says of itself: with the answer to which request, and when that was sent.
-OnSaid = Callable[[str, float, Said], None]
+OnTargetStatus = Callable[[str, float, Said], None]
 
 
 class Executor(OnLoop):
@@ -47,8 +52,8 @@
         running: RunningCalls,
         stats: Stats,
         quarantine: Quarantine,
-        observes: Callable[[str], bool] = lambda service: False,
-        on_death: Callable[[int, int], None] = lambda fingerprint, deaths: None,
+        is_observe_only: Callable[[str], bool] = lambda service: False,
+        on_target_crash: Callable[[int, int], None] = lambda fingerprint, deaths: None,
         levels: ChainLevels | None = None,
         dialect: TargetDialect | None = None,
     ) -> None:
@@ -59,14 +64,14 @@
         self.running = running
         self.stats = stats
         self.quarantine = quarantine
-        self.observes = observes
-        self.on_death = on_death
+        self.is_observe_only = is_observe_only
+        self.on_target_crash = on_target_crash
         self.levels = levels or ChainLevels()
         self.decisions: DecisionLog | None = None
         #: Takes what the target says of itself with the answer to a request.
-        self.on_said: OnSaid = lambda request_id, sent_at, said: None
+        self.on_target_status: OnTargetStatus = lambda request_id, sent_at, said: None
         #: Gives what other nodes are told of that with each reply.
-        self.told: Callable[[], Told | None] = lambda: None
+        self.target_status: Callable[[], Told | None] = lambda: None
         self._waiters = Waiters(admission, self._release)
         self._tickets = 0
         self._shadows: set[int] = set()
@@ -74,56 +79,58 @@
         self._ticked = 0  #: tickets given out at the last tick
         self._ticking = False
 
-    async def execute(self, work: Work) -> Reply:
+    async def execute(self, call: PendingCall) -> Reply:
         """Run one call at the local target, or refuse it.
 
         A refusal from here is the proof that the call did not run: nothing is written to the
         target before admission, and once something is, no answer says "not run" any more.
         """
-        failure = self._unfit(work.ctx)
+        failure = self._unfit(call.ctx)
         if failure is not None:
-            return self._refused(failure, work)
-        ctx = work.ctx
+            return self._refused(failure, call)
+        ctx = call.ctx
         now = self.now()
         self.quarantine.merge_deaths(now, ctx.fingerprint, ctx.deaths)
         match self.quarantine.check(now, ctx.fingerprint):
-            case Quarantined(failure) if self.observes(ctx.service):
+            case Quarantined(failure) if self.is_observe_only(ctx.service):
                 self.stats.observed_refusals[failure.kind.value] += 1
             case Quarantined(failure):
-                return self._refused(failure, work)
-            case Suspected() if not self.observes(ctx.service):
-                return await self._run_alone(work)
-        return await self._admit_and_run(work)
+                return self._refused(failure, call)
+            case Suspected() if not self.is_observe_only(ctx.service):
+                return await self._run_alone(call)
+        return await self._admit_and_run(call)
 
-    async def _run_alone(self, work: Work) -> Reply:
+    async def _run_alone(self, call: PendingCall) -> Reply:
         """Run a suspect beside no other, so that a second death names the guilty one."""
-        left = work.ctx.deadline - self.now()
+        left = call.ctx.deadline - self.now()
         try:
             # Not wait_for: in 3.11 a time out that meets the lock would leave it taken for ever.
             async with asyncio.timeout(max(left, 0)):
                 await self._suspect_lock.acquire()
         except TimeoutError:
-            return self._refused(Failure(ErrorKind.TOO_LATE_TO_START, '', COME_BACK), work)
+            return self._refused(
+                Failure(ErrorKind.TOO_LATE_TO_START, '', RETRY_AFTER_SECONDS), call
+            )
         try:
-            return await self._admit_and_run(work)
+            return await self._admit_and_run(call)
         finally:
             self._suspect_lock.release()
 
-    async def _admit_and_run(self, work: Work) -> Reply:
-        ticket = self._ticket(work.ctx)
-        failure = await self._admit(ticket, work.ctx)
-        if work.waits is not None:
-            work.waits.seconds += self.now() - ticket.arrived_at
+    async def _admit_and_run(self, call: PendingCall) -> Reply:
+        ticket = self._ticket(call.ctx)
+        failure = await self._admit(ticket, call.ctx)
+        if call.waits is not None:
+            call.waits.seconds += self.now() - ticket.arrived_at
         if failure is not None:
-            return self._refused(failure, work)
-        return await self._run(work, ticket)
+            return self._refused(failure, call)
+        return await self._run(call, ticket)
 
     def _unfit(self, ctx: CallContext) -> Failure | None:
         if self.target.draining:
-            return Failure(ErrorKind.DRAINING, retry_after=COME_BACK)
+            return Failure(ErrorKind.DRAINING, retry_after=RETRY_AFTER_SECONDS)
         if self.target.address is None or self.target.service != ctx.service:
             detail = f'no target of {ctx.service} is announced here'
-            return Failure(ErrorKind.NO_TARGET, detail, COME_BACK)
+            return Failure(ErrorKind.NO_TARGET, detail, RETRY_AFTER_SECONDS)
         return None
 
     def _ticket(self, ctx: CallContext) -> Ticket:
@@ -160,7 +167,7 @@
     async def _admit(self, ticket: Ticket, ctx: CallContext) -> Failure | None:
         loop = self.loop
         verdict = self.admission.admit(loop.time(), ticket)
-        if self.observes(ctx.service):
+        if self.is_observe_only(ctx.service):
             self._observe(ticket, verdict)
             return None
         match verdict:
@@ -170,7 +177,9 @@
                 return failure
             case Wait(evicted):
                 if evicted is not None:
-                    self._settle(evicted, Failure(ErrorKind.OVERLOADED, retry_after=COME_BACK))
+                    self._settle(
+                        evicted, Failure(ErrorKind.OVERLOADED, retry_after=RETRY_AFTER_SECONDS)
+                    )
         if self.decisions is not None:
             self.decisions.queued(ctx, self._load(ctx))
         end = self._waiters.add(ticket)
@@ -201,7 +210,7 @@
                 self.stats.observed_refusals[failure.kind.value] += 1
         self._shadows.add(ticket.call_id)
 
-    def _leave(self, ticket: Ticket, end: End) -> None:
+    def _leave(self, ticket: Ticket, end: AdmissionFuture) -> None:
         """Take a cancelled call out, whether it still waits or was started this moment."""
         if end.done() and not end.cancelled() and end.result() is None:
             now = self.now()
@@ -211,38 +220,40 @@
 
     def refuse_waiting(self) -> None:
         """Refuse what still waits at a target that leaves: it did not run, and can elsewhere."""
-        self._waiters.refuse_all(Failure(ErrorKind.DRAINING, retry_after=COME_BACK))
+        self._waiters.refuse_all(Failure(ErrorKind.DRAINING, retry_after=RETRY_AFTER_SECONDS))
 
     def _settle(self, ticket: Ticket, failure: Failure | None) -> None:
         self._shadows.discard(ticket.call_id)
-        self._waiters.settle(ticket, failure)
+        self._waiters.resolve(ticket, failure)
 
-    async def _run(self, work: Work, ticket: Ticket) -> Reply:
+    async def _run(self, call: PendingCall, ticket: Ticket) -> Reply:
         loop = self.loop
-        running = Running(work, loop.time(), partial(self._waits, ticket))
+        running = RunningCall(call, loop.time(), partial(self._waits, ticket))
         self.running.add(running)
         completed = False
         try:
-            reply = await self._call_target(work, running)
+            reply = await self._call_target(call, running)
             completed = reply.kind == ''
-            if completed and work.ctx.deaths:
-                self.quarantine.record_completion(loop.time(), work.ctx.fingerprint)
+            if completed and call.ctx.deaths:
+                self.quarantine.record_completion(loop.time(), call.ctx.fingerprint)
         except asyncio.CancelledError:
             self.stats.wasted += 1
             raise
         finally:
             now = loop.time()
-            self.running.end(running)
-            self._finish(ticket, Sample(ticket.rule, running.own_time(now), completed), now)
-        reply.unspent = work.allowance.tokens
-        reply.load = self._load(work.ctx)._replace(cost=self._cost(running))
-        reply.told = self.told()
+            self.running.remove(running)
+            self._finish(
+                ticket, Sample(ticket.rule, running.processing_seconds(now), completed), now
+            )
+        reply.unspent = call.allowance.tokens
+        reply.load = self._load(call.ctx)._replace(cost=self._cost(running))
+        reply.told = self.target_status()
         return reply
 
-    def _cost(self, running: Running) -> float:
+    def _cost(self, running: RunningCall) -> float:
         """Give the cost of a call at whichever is narrower: this service or those below it."""
-        own = running.own_time(self.now()) / max(self.admission.limit, 1)
-        return max(own, running.cost_below)
+        own = running.processing_seconds(self.now()) / max(self.admission.limit, 1)
+        return max(own, running.downstream_cost)
 
     def _load(self, ctx: CallContext) -> Load:
         """Report the worst level of this hop and those below, for the hops above to refuse by."""
@@ -259,15 +270,15 @@
             self.admission.resume(now, ticket)
         self._release(now)
 
-    async def _call_target(self, work: Work, running: Running) -> Reply:
+    async def _call_target(self, call: PendingCall, running: RunningCall) -> Reply:
         address = self.target.address
         if address is None:
             # It went while the call waited in the queue.
-            return refusal(Failure(ErrorKind.NO_TARGET, 'the target has gone', COME_BACK))
-        budget = work.ctx.deadline - running.started
-        headers = self.dialect.headers(work, running, budget)
-        req = HttpRequest(work.method, work.path, headers, work.body, '')
-        again = partial(self._may_repeat, work) if work.ctx.idempotent else None
+            return refusal(Failure(ErrorKind.NO_TARGET, 'the target has gone', RETRY_AFTER_SECONDS))
+        budget = call.ctx.deadline - running.started
+        headers = self.dialect.headers(call, running, budget)
+        req = HttpRequest(call.method, call.path, headers, call.body, '')
+        again = partial(self._may_repeat, call) if call.ctx.idempotent else None
         loop = self.loop
         sent_at = loop.time()
         exchange = await self.client.send(
@@ -275,36 +286,36 @@
             req,
             budget,
             may_repeat=again,
-            belongs=partial(self.dialect.belongs, work),
+            belongs=partial(self.dialect.belongs, call),
         )
         took = loop.time() - sent_at
         self.stats.took(Hop.TARGET, took)
-        if work.waits is not None:
-            work.waits.seconds += took
+        if call.waits is not None:
+            call.waits.seconds += took
         match exchange:
             case Answered(response):
-                self._hear(work, sent_at, response)
+                self._hear(call, sent_at, response)
                 reply = self.dialect.reply(response)
                 if not reply.kind:
-                    reply.retry_after = come_back_after(reply, running)
+                    reply.retry_after = downstream_retry_after(reply, running)
                 if reply.status >= FIRST_ERROR_STATUS:
-                    reply.cause = running.failed_call
+                    reply.cause = running.downstream_failure
                 return reply
             case NotSent(detail):
                 self.target.note_refused()
-                return refusal(Failure(ErrorKind.NO_TARGET, detail, COME_BACK))
+                return refusal(Failure(ErrorKind.NO_TARGET, detail, RETRY_AFTER_SECONDS))
             case Lost(detail, kind):
                 reply = refusal(Failure(kind, detail))
                 if kind is ErrorKind.TARGET_LOST and not await self._target_lives():
                     now = self.now()
-                    reply.deaths = self.quarantine.record_death(now, work.ctx.fingerprint)
-                    self.on_death(work.ctx.fingerprint, reply.deaths)
+                    reply.deaths = self.quarantine.record_death(now, call.ctx.fingerprint)
+                    self.on_target_crash(call.ctx.fingerprint, reply.deaths)
                 return reply
 
-    def _hear(self, work: Work, sent_at: float, response: HttpResponse) -> None:
+    def _hear(self, call: PendingCall, sent_at: float, response: HttpResponse) -> None:
         said = self.dialect.said(response)
         if said is not None:
-            self.on_said(work.ctx.request_id, sent_at, said)
+            self.on_target_status(call.ctx.request_id, sent_at, said)
 
     async def _target_lives(self) -> bool:
         """Say whether the target takes connections: a dead one refuses them at once."""
@@ -316,9 +327,9 @@
             self.target.note_refused()
         return lives
 
-    def _may_repeat(self, work: Work) -> bool:
+    def _may_repeat(self, call: PendingCall) -> bool:
         # A target that leaves is given nothing new, a call it already has included.
-        return not self.target.draining and work.allowance.spend()
+        return not self.target.draining and call.allowance.spend()
 
     def _finish(self, ticket: Ticket, sample: Sample, now: float) -> None:
         if ticket.call_id in self._shadows:
@@ -332,17 +343,17 @@
         released = self.admission.dequeue(now)
         for started in released.started:
             self._settle(started, None)
-        late = Failure(ErrorKind.TOO_LATE_TO_START, retry_after=COME_BACK)
+        late = Failure(ErrorKind.TOO_LATE_TO_START, retry_after=RETRY_AFTER_SECONDS)
         for dropped in released.expired:
             self._settle(dropped, late)
-        self._waiters.wake_when_due(now)
+        self._waiters.schedule_release(now)
 
-    def _refused(self, failure: Failure, work: Work) -> Reply:
+    def _refused(self, failure: Failure, call: PendingCall) -> Reply:
         self.stats.shed[failure.kind.value] += 1
-        load = self._load(work.ctx)
+        load = self._load(call.ctx)
         if self.decisions is not None:
-            self.decisions.refused(work.ctx, failure, load)
+            self.decisions.refused(call.ctx, failure, load)
         reply = refusal(failure, load=load)
-        reply.told = self.told()
-        reply.unspent = work.allowance.tokens
+        reply.told = self.target_status()
+        reply.unspent = call.allowance.tokens
         return reply
--- a/dunlinsaddle/calls/faces.py
+++ b/dunlinsaddle/calls/handlers.py
@@ -8,6 +8,13 @@
 import uuid6
 import xxhash
 
+from dunlinsaddle.calls.call_state import (
+    PendingCall,
+    RunningCall,
+    RunningCalls,
+    WaitTime,
+    record_added_latency,
+)
 from dunlinsaddle.calls.dispatch import Dispatcher
 from dunlinsaddle.calls.http import (
     HttpRequest,
@@ -19,7 +26,6 @@
 )
 from dunlinsaddle.calls.messages import Reply, refusal
 from dunlinsaddle.calls.target import LocalTarget
-from dunlinsaddle.calls.work import Running, RunningCalls, Waits, Work, count_added
 from dunlinsaddle.errors import ErrorKind, Failure, Outcome
 from dunlinsaddle.policy.classify import classify
 from dunlinsaddle.policy.context import MAX_HOPS, CallContext, inherit_priority, priority_of
@@ -32,7 +38,7 @@
 
 MAX_ID_LENGTH = 128  #: characters; ids in use have 16 to 36
 KEYS_PATH = '/-/keys/'
-NO_RECORD_COME_BACK = 1.0  #: seconds; by judgement
+NO_RECORD_RETRY_AFTER_SECONDS = 1.0  #: seconds; by judgement
 UNTRACED_RULE = RequestRule('untraced', '*', '/**')
 
 
@@ -60,7 +66,7 @@
     return ServicePath(service=service.partition('?')[0], rest=f'/{rest}' if slash else '/')
 
 
-def read_timeout(text: str, common: float) -> float:
+def parse_timeout(text: str, common: float) -> float:
     """Read a Request-Timeout header: seconds, at most the record's deadline."""
     try:
         seconds = float(text)
@@ -69,7 +75,7 @@
     return min(seconds, common) if seconds > 0 else common
 
 
-class CallerFace:
+class CallerHandler:
     """Any node is an entry: it classifies a request, gives it its budget, and sends it on."""
 
     def __init__(
@@ -77,13 +83,13 @@
         book: RecordBook,
         dispatcher: Dispatcher,
         stats: Stats,
-        on_unknown: Callable[[CallContext, str], None] = lambda ctx, kind: None,
+        on_unknown_outcome: Callable[[CallContext, str], None] = lambda ctx, kind: None,
     ) -> None:
         self.book = book
         self.dispatcher = dispatcher
         self.stats = stats
-        self.on_unknown = on_unknown
-        self.guard = ResendGuard()
+        self.on_unknown_outcome = on_unknown_outcome
+        self.resend_guard = ResendGuard()
 
     async def handle(self, req: HttpRequest) -> HttpResponse:
         """Answer one request of a caller."""
@@ -96,28 +102,30 @@
         rule = classify(record, req.method, path['rest'])
         loop = asyncio.get_running_loop()
         began = loop.time()
-        work = self._work(req, record, rule, path['rest'])
+        call = self._work(req, record, rule, path['rest'])
         name = req.header(b'idempotency-key') or req.header(b'request-id')
-        failure = self._over_rate(work, record, name)
-        reply = refusal(failure) if failure else await self.dispatcher.dispatch(work)
-        self._note_refusal(work, reply, name)
+        failure = self._over_rate(call, record, name)
+        reply = refusal(failure) if failure else await self.dispatcher.dispatch(call)
+        self._note_refusal(call, reply, name)
         label = CallLabel(record.service, rule.rank.name.lower(), reply.outcome.value, reply.kind)
         self.stats.count(label)
         if reply.outcome is Outcome.UNKNOWN:
-            self.on_unknown(work.ctx, reply.kind)
-        count_added(self.stats, work, reply, loop.time() - began)
-        return self._response(reply, work)
+            self.on_unknown_outcome(call.ctx, reply.kind)
+        record_added_latency(self.stats, call, reply, loop.time() - began)
+        return self._response(reply, call)
 
     async def _mint_key(self, req: HttpRequest) -> HttpResponse:
         service = req.path.removeprefix(KEYS_PATH)
-        if self.book.find(service) is None or self.dispatcher.once is None:
+        if self.book.find(service) is None or self.dispatcher.idempotency_router is None:
             return failure_response(Failure(ErrorKind.UNKNOWN_SERVICE, service))
         if req.method != 'POST':
             return failure_response(Failure(ErrorKind.METHOD_NOT_ALLOWED, req.method))
-        return json_response({'key': (await self.dispatcher.once.mint(service)).text})
+        return json_response(
+            {'key': (await self.dispatcher.idempotency_router.mint_key(service)).text}
+        )
 
-    def _over_rate(self, work: Work, record: ServiceRecord, name: str) -> Failure | None:
-        ctx = work.ctx
+    def _over_rate(self, call: PendingCall, record: ServiceRecord, name: str) -> Failure | None:
+        ctx = call.ctx
         if not name:
             # Two requests without a name may be alike and yet come from two people.
             return None
@@ -125,7 +133,7 @@
             # The first send may be running: "not run" from here would be false. The owner of
             # the key tells duplicates at once, at the cost of a look into its table.
             return None
-        failure = self.guard.check(
+        failure = self.resend_guard.check(
             asyncio.get_running_loop().time(),
             ctx.caller,
             name,
@@ -140,40 +148,42 @@
         self.stats.shed[failure.kind.value] += 1
         return failure
 
-    def _note_refusal(self, work: Work, reply: Reply, name: str) -> None:
-        ctx = work.ctx
+    def _note_refusal(self, call: PendingCall, reply: Reply, name: str) -> None:
+        ctx = call.ctx
         if not name:
             return
         if reply.retry_after <= 0:
             if not reply.kind:
-                self.guard.record_answer(ctx.caller, name)
+                self.resend_guard.record_answer(ctx.caller, name)
         else:
             now = asyncio.get_running_loop().time()
-            self.guard.record_refusal(now, ctx.caller, name, reply.retry_after)
+            self.resend_guard.record_refusal(now, ctx.caller, name, reply.retry_after)
 
-    def _work(self, req: HttpRequest, record: ServiceRecord, rule: RequestRule, rest: str) -> Work:
+    def _work(
+        self, req: HttpRequest, record: ServiceRecord, rule: RequestRule, rest: str
+    ) -> PendingCall:
         now = asyncio.get_running_loop().time()
         request_id = req.header(b'request-id')[:MAX_ID_LENGTH].strip() or str(uuid6.uuid7())
         ctx = CallContext(
             request_id=request_id,
-            caller=caller_of(req),
+            caller=caller_id(req),
             service=record.service,
             rule=rule.name,
             priority=priority_of(rule.rank, request_id),
-            deadline=now + read_timeout(req.header(b'request-timeout'), record.deadline),
+            deadline=now + parse_timeout(req.header(b'request-timeout'), record.deadline),
             allowance=record.retry_bound,
             hop=0,
             idempotent=rule.idempotent,
             key=req.header(b'idempotency-key')[:MAX_ID_LENGTH],
-            fingerprint=fingerprint(req, record.service),
+            fingerprint=request_fingerprint(req, record.service),
         )
         headers = forwarded_headers(req.headers)
         allowance = RetryAllowance(record.retry_bound)
-        return Work(ctx, req.method, rest, headers, req.body, allowance, Waits())
+        return PendingCall(ctx, req.method, rest, headers, req.body, allowance, WaitTime())
 
-    def _response(self, reply: Reply, work: Work) -> HttpResponse:
+    def _response(self, reply: Reply, call: PendingCall) -> HttpResponse:
         response = response_of(reply)
-        response.headers.append((b'request-id', work.ctx.request_id.encode('latin-1')))
+        response.headers.append((b'request-id', call.ctx.request_id.encode('latin-1')))
         return response
 
 
@@ -185,11 +195,11 @@
     """
     if req.header(b'idempotency-key'):
         detail = f'no record of {service} is known here'
-        return Failure(ErrorKind.OWNER_UNREACHABLE, detail, NO_RECORD_COME_BACK)
+        return Failure(ErrorKind.OWNER_UNREACHABLE, detail, NO_RECORD_RETRY_AFTER_SECONDS)
     return Failure(ErrorKind.UNKNOWN_SERVICE, service)
 
 
-class LocalFace:
+class LocalTargetHandler:
     """What the target beside a node may ask: announce itself, drain, call other services."""
 
     def __init__(
@@ -203,7 +213,7 @@
         self.running = running
         self.book = book
         self.dispatcher = dispatcher
-        self.changed = asyncio.Event()
+        self.target_changed = asyncio.Event()
 
     async def handle(self, req: HttpRequest) -> HttpResponse:
         """Answer one request of the local target."""
@@ -212,7 +222,7 @@
                 return self._announce(req)
             case ('POST', '/-/drain'):
                 self.target.drain()
-                self.changed.set()
+                self.target_changed.set()
                 return json_response({'draining': True})
             case (_, path) if path.startswith('/-/'):
                 return failure_response(Failure(ErrorKind.NOT_FOUND, path))
@@ -225,7 +235,7 @@
         except (msgspec.MsgspecError, ValueError) as exc:
             return failure_response(Failure(ErrorKind.MALFORMED_REQUEST, f'announcement: {exc}'))
         self.target.announce(said['service'], address)
-        self.changed.set()
+        self.target_changed.set()
         return json_response({'instance': self.dispatcher.instance})
 
     async def _call(self, req: HttpRequest) -> HttpResponse:
@@ -234,39 +244,41 @@
         if record is None:
             return failure_response(Failure(ErrorKind.UNKNOWN_SERVICE, path['service']))
         parent = self.running.find(req.header(b'dunlinsaddle-call'))
-        work = self._work(req, record, path['rest'], parent)
-        if work.ctx.hop > MAX_HOPS:
+        call = self._work(req, record, path['rest'], parent)
+        if call.ctx.hop > MAX_HOPS:
             return failure_response(Failure(ErrorKind.TOO_DEEP))
         if parent is None:
-            return response_of(await self.dispatcher.dispatch(work))
-        return await self._call_for(parent, work)
+            return response_of(await self.dispatcher.dispatch(call))
+        return await self._call_for(parent, call)
 
-    async def _call_for(self, parent: Running, work: Work) -> HttpResponse:
+    async def _call_for(self, parent: RunningCall, call: PendingCall) -> HttpResponse:
         loop = asyncio.get_running_loop()
         task = asyncio.current_task()
         assert task is not None
         parent.children.add(task)
-        parent.leave(loop.time())
+        parent.begin_downstream_wait(loop.time())
         try:
-            reply = await self.dispatcher.dispatch(work, parent.work.ctx.rule)
+            reply = await self.dispatcher.dispatch(call, parent.call.ctx.rule)
             if reply.kind and reply.outcome is Outcome.NOT_RUN:
-                parent.come_back_after = max(parent.come_back_after, reply.retry_after)
+                parent.downstream_retry_after = max(
+                    parent.downstream_retry_after, reply.retry_after
+                )
             return response_of(reply)
         finally:
             parent.children.discard(task)
-            parent.come_back(loop.time())
+            parent.end_downstream_wait(loop.time())
 
     def _work(
-        self, req: HttpRequest, record: ServiceRecord, rest: str, parent: Running | None
-    ) -> Work:
+        self, req: HttpRequest, record: ServiceRecord, rest: str, parent: RunningCall | None
+    ) -> PendingCall:
         """Carry the root's context down; without it there is no retry allowance at all."""
         rule = classify(record, req.method, rest)
         now = asyncio.get_running_loop().time()
         headers = forwarded_headers(req.headers)
-        root = parent.work.ctx if parent else None
+        root = parent.call.ctx if parent else None
         request_id = root.request_id if root else str(uuid6.uuid7())
-        allowance = parent.work.allowance if parent else RetryAllowance(0)
-        deadline = now + read_timeout(req.header(b'request-timeout'), record.deadline)
+        allowance = parent.call.allowance if parent else RetryAllowance(0)
+        deadline = now + parse_timeout(req.header(b'request-timeout'), record.deadline)
         ctx = CallContext(
             request_id=request_id,
             caller=root.caller if root else 'local',
@@ -280,12 +292,12 @@
             hop=root.hop + 1 if root else 0,
             idempotent=rule.idempotent,
             key=req.header(b'idempotency-key')[:MAX_ID_LENGTH],
-            fingerprint=root.fingerprint if root else fingerprint(req, record.service),
+            fingerprint=root.fingerprint if root else request_fingerprint(req, record.service),
         )
-        return Work(ctx, req.method, rest, headers, req.body, allowance)
+        return PendingCall(ctx, req.method, rest, headers, req.body, allowance)
 
 
-def caller_of(req: HttpRequest) -> str:
+def caller_id(req: HttpRequest) -> str:
     """Tell callers apart that share an address, as those behind one gateway do.
 
     Credentials are not checked here, only told apart: who changes them with every call gains
@@ -297,7 +309,7 @@
     return f'{req.remote}/{xxhash.xxh64_hexdigest(credentials.encode())}'
 
 
-def fingerprint(req: HttpRequest, service: str) -> int:
+def request_fingerprint(req: HttpRequest, service: str) -> int:
     """Give what stays the same when a caller sends the same request again."""
     digest = xxhash.xxh64(service.encode())
     digest.update(req.method.encode())
--- a/dunlinsaddle/calls/handover.py
+++ b/dunlinsaddle/calls/handover.py
@@ -19,21 +19,23 @@
 from dunlinsaddle.policy.keys import TimestampedKey, parse_key
 from dunlinsaddle.policy.ownership import Owner
 
-PIECE_BYTES = 1 << 18  #: of one message: a quarter of a second on a link of ten megabits
-KEY_BYTES = 256  #: more than a key takes without its answer
-PIECE_SECONDS = 2.0  #: seconds for one message, by judgement: what a leaving node can spare
+MAX_MESSAGE_BYTES = 1 << 18  #: of one message: a quarter of a second on a link of ten megabits
+KEY_OVERHEAD_BYTES = 256  #: more than a key takes without its answer
+MESSAGE_TIMEOUT_SECONDS = (
+    2.0  #: seconds for one message, by judgement: what a leaving node can spare
+)
 
 Tables = dict[str, KeyTable[Reply]]
 
 
-class Handed(NamedTuple):
+class HandoverResult(NamedTuple):
     """How many keys the next owners took, and how many nobody did."""
 
     taken: int
-    left: int
+    not_taken: int
 
 
-def has_ended(keeper: RangeKeeper, view: MemberView, service: str, owner: Owner) -> bool:
+def has_owner_ended(keeper: RangeKeeper, view: MemberView, service: str, owner: Owner) -> bool:
     """Say whether a run is held to have ended: enough to ask others, never to run its keys."""
     if owner == keeper.me:
         return False
@@ -44,7 +46,7 @@
     )
 
 
-def heir_of(
+def find_next_owner(
     keeper: RangeKeeper,
     view: MemberView,
     service: str,
@@ -60,14 +62,14 @@
         owner = interval.owner
         if leaving and owner == keeper.me:
             continue
-        if not has_ended(keeper, view, service, owner):
+        if not has_owner_ended(keeper, view, service, owner):
             return owner
     return None
 
 
-async def hand_over(
+async def hand_over_keys(
     tables: Tables, keeper: RangeKeeper, view: MemberView, links: PeerLinks
-) -> Handed:
+) -> HandoverResult:
     """Give all tables away, piece by piece; only after this node has stopped accepting keys."""
     plans: dict[tuple[str, str], list[KeyRecord[Reply]]] = {}
     left = 0
@@ -82,10 +84,10 @@
         _give(links, view.find(name), service, known) for (service, name), known in plans.items()
     ]
     taken = sum(await asyncio.gather(*gifts))
-    return Handed(taken, left + sum(map(len, plans.values())) - taken)
+    return HandoverResult(taken, left + sum(map(len, plans.values())) - taken)
 
 
-def take_over(tables: Tables, push: KeysPush) -> None:
+def take_over_keys(tables: Tables, push: KeysPush) -> None:
     """Remember what a leaving owner has told."""
     table = tables.setdefault(push.service, KeyTable())
     for given in push.keys:
@@ -98,15 +100,15 @@
                 )
 
 
-def log_handed(logger: logging.Logger, handed: Handed) -> None:
+def log_handover(logger: logging.Logger, handed: HandoverResult) -> None:
     """Tell operators how many resends will be answered by the next owners."""
-    logger.info('keys handed over', extra={'taken': handed.taken, 'left': handed.left})
+    logger.info('keys handed over', extra={'taken': handed.taken, 'left': handed.not_taken})
 
 
 def _heir_of_text(keeper: RangeKeeper, view: MemberView, service: str, text: str) -> Owner | None:
     match parse_key(text):
         case Ok(TimestampedKey() as key):
-            return heir_of(keeper, view, service, key, leaving=True)
+            return find_next_owner(keeper, view, service, key, leaving=True)
     return None
 
 
@@ -114,10 +116,12 @@
     links: PeerLinks, member: Member | None, service: str, known: list[KeyRecord[Reply]]
 ) -> int:
     taken = 0
-    for piece in cut_pieces(known, lambda entry: KEY_BYTES + entry.size, PIECE_BYTES):
+    for piece in cut_pieces(
+        known, lambda entry: KEY_OVERHEAD_BYTES + entry.size, MAX_MESSAGE_BYTES
+    ):
         keys = [EndedKey(k.key, k.fingerprint, k.done, k.answer) for k in piece]
         push = KeysPush(0, service, keys)
-        if member is None or not await links.give_keys(member.peers, push, PIECE_SECONDS):
+        if member is None or not await links.give_keys(member.peers, push, MESSAGE_TIMEOUT_SECONDS):
             break
         taken += len(piece)
     return taken
--- a/dunlinsaddle/calls/listener.py
+++ b/dunlinsaddle/calls/listener.py
@@ -5,7 +5,7 @@
 import socket
 from collections.abc import Callable
 
-from dunlinsaddle.calls.accepted import AcceptedConnection, Handler
+from dunlinsaddle.calls.accepted_connection import AcceptedConnection, Handler
 from dunlinsaddle.calls.http import (
     HttpLimits,
     HttpRequest,
--- a/dunlinsaddle/calls/member_calls.py
+++ b/dunlinsaddle/calls/member_calls.py
@@ -3,9 +3,9 @@
 import asyncio
 from collections.abc import Iterable
 
+from dunlinsaddle.calls.call_state import PendingCall, build_call_frame
 from dunlinsaddle.calls.link import PeerLinks
 from dunlinsaddle.calls.messages import Lost, NotSent, Reply
-from dunlinsaddle.calls.work import Work, call_of
 from dunlinsaddle.membership.view import Member, State
 from dunlinsaddle.policy.route import Candidate, Router
 
@@ -23,12 +23,12 @@
         self.links = links
 
     async def call(
-        self, work: Work, member: Member, *, asked: int = 0, owned: bool = False
+        self, work: PendingCall, member: Member, *, asked: int = 0, owned: bool = False
     ) -> Reply | NotSent | Lost:
         """Hand it over; ``asked`` and ``owned`` say what the member is taken for."""
         loop = asyncio.get_running_loop()
         handed = work.allowance.delegate()
-        call = call_of(work, loop.time(), handed)
+        call = build_call_frame(work, loop.time(), handed)
         call.asked, call.owned = asked, owned
         self.router.record_sent(member.instance)
         try:
--- a/dunlinsaddle/calls/owned.py
+++ b/dunlinsaddle/calls/owned_keys.py
@@ -5,10 +5,10 @@
 
 import msgspec
 
+from dunlinsaddle.calls.call_state import PendingCall
 from dunlinsaddle.calls.execute import Executor
 from dunlinsaddle.calls.member_calls import MemberCalls, candidates_of
 from dunlinsaddle.calls.messages import Lost, NotSent, Reply, refusal
-from dunlinsaddle.calls.work import Work
 from dunlinsaddle.errors import ErrorKind, Failure, Outcome
 from dunlinsaddle.membership.view import MemberView
 from dunlinsaddle.policy.key_table import KeyRefused, KeyTable, StoredAnswer
@@ -17,14 +17,14 @@
 from dunlinsaddle.policy.retry import RetryAllowance
 from dunlinsaddle.stats import Stats
 
-COME_BACK = 1.0  #: seconds; within one, a reading of the map of owners is done
+RETRY_AFTER_SECONDS = 1.0  #: seconds; within one, a reading of the map of owners is done
 MAX_HANDED_ON = 2  #: nodes that a run is handed on to: two more cover a drain beside a full one
-HANDED_ON = frozenset({ErrorKind.DRAINING, ErrorKind.NO_TARGET, ErrorKind.OVERLOADED})
+HANDED_ON_KINDS = frozenset({ErrorKind.DRAINING, ErrorKind.NO_TARGET, ErrorKind.OVERLOADED})
 ACCEPTED = 'accepted'
 REPEATED = 'repeated'
 
 
-class OwnedRuns:
+class OwnedKeys:
     """The keys that this node owns, and their runs, here or handed on."""
 
     def __init__(
@@ -52,35 +52,35 @@
         while self._runs:
             await asyncio.wait(self._runs)
 
-    def look(self, work: Work, key: str) -> Reply | None:
+    def find_reply(self, call: PendingCall, key: str) -> Reply | None:
         """Give the answer to a key that is known here, if it is."""
-        known = self.table(work.ctx.service).lookup(key, work.ctx.fingerprint)
+        known = self.table(call.ctx.service).lookup(key, call.ctx.fingerprint)
         return None if known is None else self._recall(known)
 
-    async def own(self, work: Work, key: Key, birth: int) -> Reply:
+    async def run_once(self, call: PendingCall, key: Key, birth: int) -> Reply:
         """Run a key that was never begun here, or give what came of it."""
-        service = work.ctx.service
+        service = call.ctx.service
         table = self.table(service)
-        known = self.look(work, key.text)
+        known = self.find_reply(call, key.text)
         if known is not None:
             return known
         now = self.clock()
         table.raise_floor(now - int(self.window(service) * 1000))
-        begun = table.begin(key.text, birth, work.ctx.fingerprint, now)
+        begun = table.begin(key.text, birth, call.ctx.fingerprint, now)
         if isinstance(begun, KeyRefused):
             return self._recall(begun)
         self.stats.keys[ACCEPTED] += 1
         # A caller that goes away must not turn its run into one of unknown end: it will come
         # back with the same key and find the answer. The deadline bounds the run.
-        run = asyncio.get_running_loop().create_task(self._run(work, key.text, table))
+        run = asyncio.get_running_loop().create_task(self._run(call, key.text, table))
         self._runs.add(run)
         run.add_done_callback(self._runs.discard)
         return await asyncio.shield(run)
 
-    async def _run(self, work: Work, key: str, table: KeyTable[Reply]) -> Reply:
+    async def _run(self, call: PendingCall, key: str, table: KeyTable[Reply]) -> Reply:
         reply: Reply | None = None
         try:
-            reply = await self._run_somewhere(work)
+            reply = await self._run_somewhere(call)
         finally:
             if reply is None or reply.outcome is Outcome.UNKNOWN:
                 table.mark_unknown(key)
@@ -90,29 +90,29 @@
                 table.complete(key, reply, reply.size)
         return reply
 
-    async def _run_somewhere(self, work: Work) -> Reply:
+    async def _run_somewhere(self, call: PendingCall) -> Reply:
         """Run a call beside this node, or hand it on as long as it provably did not run."""
-        handed = work.allowance.delegate()
-        reply = await self.executor.execute(work._replace(allowance=RetryAllowance(handed)))
-        work.allowance.reclaim(handed, reply.unspent)
+        handed = call.allowance.delegate()
+        reply = await self.executor.execute(call._replace(allowance=RetryAllowance(handed)))
+        call.allowance.reclaim(handed, reply.unspent)
         tried = {self.me.instance}
         while _goes_on(reply) and len(tried) <= MAX_HANDED_ON:
             now = asyncio.get_running_loop().time()
-            members = {m.instance: m for m in self.view.serving(work.ctx.service)}
+            members = {m.instance: m for m in self.view.serving(call.ctx.service)}
             candidates = candidates_of(members.values())
             chosen = self.calls.router.choose(now, candidates, frozenset(tried))
-            if chosen is None or not work.allowance.spend():
+            if chosen is None or not call.allowance.spend():
                 break
             tried.add(chosen.instance)
             self.stats.retries += 1
-            match await self.calls.call(work, members[chosen.instance], owned=True):
+            match await self.calls.call(call, members[chosen.instance], owned=True):
                 case Reply() as answer:
                     reply = answer
                 case NotSent(detail):
-                    reply = refusal(Failure(ErrorKind.NO_TARGET, detail, COME_BACK))
+                    reply = refusal(Failure(ErrorKind.NO_TARGET, detail, RETRY_AFTER_SECONDS))
                 case Lost(detail, kind):
                     reply = refusal(Failure(kind, detail))
-        reply.unspent = work.allowance.tokens
+        reply.unspent = call.allowance.tokens
         return reply
 
     def table(self, service: str) -> KeyTable[Reply]:
@@ -130,11 +130,11 @@
     def refuse(self, kind: ErrorKind, detail: str = '') -> Reply:
         """Refuse a key, and count why."""
         self.stats.keys[kind.value] += 1
-        return refusal(Failure(kind, detail, COME_BACK))
+        return refusal(Failure(kind, detail, RETRY_AFTER_SECONDS))
 
 
 def _goes_on(reply: Reply) -> bool:
-    return reply.outcome is Outcome.NOT_RUN and ErrorKind(reply.kind) in HANDED_ON
+    return reply.outcome is Outcome.NOT_RUN and ErrorKind(reply.kind) in HANDED_ON_KINDS
 
 
 def _copy(reply: Reply) -> Reply:
--- a/dunlinsaddle/calls/target.py
+++ b/dunlinsaddle/calls/target.py
@@ -3,9 +3,9 @@
 from collections.abc import Callable
 from typing import NamedTuple, Protocol
 
+from dunlinsaddle.calls.call_state import PendingCall, RunningCall
 from dunlinsaddle.calls.http import HttpResponse, forwarded_headers
 from dunlinsaddle.calls.messages import Headers, Reply
-from dunlinsaddle.calls.work import Running, Work
 from dunlinsaddle.errors import Outcome
 from dunlinsaddle.settings import Address
 
@@ -24,10 +24,10 @@
 class TargetDialect(Protocol):
     """How a target is spoken to: what goes with a call, and what its answer says."""
 
-    def headers(self, work: Work, running: Running, seconds: float) -> Headers:
+    def headers(self, work: PendingCall, running: RunningCall, seconds: float) -> Headers:
         """Give the headers of a call that the target has ``seconds`` for."""
 
-    def belongs(self, work: Work, headers: Headers) -> bool:
+    def belongs(self, work: PendingCall, headers: Headers) -> bool:
         """Say whether an answer with these headers is one to this call."""
 
     def reply(self, response: HttpResponse) -> Reply:
@@ -40,7 +40,7 @@
 class PlainDialect:
     """The product's own way: a target passes a token on with the calls that it makes."""
 
-    def headers(self, work: Work, running: Running, seconds: float) -> Headers:
+    def headers(self, work: PendingCall, running: RunningCall, seconds: float) -> Headers:
         """Give the caller's headers, the time left, and the token."""
         return [
             *((n, v) for n, v in forwarded_headers(work.headers) if n != b'request-timeout'),
@@ -49,7 +49,7 @@
             (b'dunlinsaddle-request', work.ctx.request_id.encode()),
         ]
 
-    def belongs(self, work: Work, headers: Headers) -> bool:
+    def belongs(self, work: PendingCall, headers: Headers) -> bool:
         """Take every answer: these targets do not name the request in them."""
         return True
 
--- a/dunlinsaddle/calls/waiters.py
+++ b/dunlinsaddle/calls/waiters.py
@@ -8,19 +8,19 @@
 from dunlinsaddle.loops import OnLoop
 from dunlinsaddle.policy.admission import AdmissionPolicy, Ticket
 
-COME_BACK = 1.0  #: seconds; about the time in which a queue has moved
+RETRY_AFTER_SECONDS = 1.0  #: seconds; about the time in which a queue has moved
 #: Seconds before its deadline at which the wait of a call ends. The refusal, which says that it did
 #: not run, has to be at the entry before the entry gives up; between failure domains it takes some
 #: 3 ms, behind other work a few more. Later the caller would get 504, which says nothing.
-WAY_BACK = 0.02
+RESPONSE_MARGIN_SECONDS = 0.02
 
 #: How a wait ends: with a refusal, or with None for a call that starts.
-End = asyncio.Future[Failure | None]
+AdmissionFuture = asyncio.Future[Failure | None]
 
 
 class _Waiter(NamedTuple):
     ticket: Ticket
-    end: End
+    end: AdmissionFuture
     timer: asyncio.TimerHandle
 
 
@@ -33,15 +33,15 @@
         self._waiters: dict[int, _Waiter] = {}
         self._due: asyncio.TimerHandle | None = None
 
-    def add(self, ticket: Ticket) -> End:
+    def add(self, ticket: Ticket) -> AdmissionFuture:
         """Let a call wait; the future is done when it starts or is refused."""
         loop = self.loop
-        end: End = loop.create_future()
+        end: AdmissionFuture = loop.create_future()
         # A target that stands still releases nobody: the wait must end without it.
-        late = Failure(ErrorKind.TOO_LATE_TO_START, retry_after=COME_BACK)
-        timer = loop.call_at(ticket.deadline - WAY_BACK, self.refuse, ticket, late)
+        late = Failure(ErrorKind.TOO_LATE_TO_START, retry_after=RETRY_AFTER_SECONDS)
+        timer = loop.call_at(ticket.deadline - RESPONSE_MARGIN_SECONDS, self.refuse, ticket, late)
         self._waiters[ticket.call_id] = _Waiter(ticket, end, timer)
-        self.wake_when_due(loop.time())
+        self.schedule_release(loop.time())
         return end
 
     def remove(self, ticket: Ticket) -> None:
@@ -50,7 +50,7 @@
         if held is not None:
             held.timer.cancel()
 
-    def settle(self, ticket: Ticket, failure: Failure | None) -> None:
+    def resolve(self, ticket: Ticket, failure: Failure | None) -> None:
         """End a wait: None lets the call start. Whoever does not wait is passed over."""
         held = self._waiters.get(ticket.call_id)
         if held is not None and not held.end.done():
@@ -68,7 +68,7 @@
         for held in list(self._waiters.values()):
             self.refuse(held.ticket, failure)
 
-    def wake_when_due(self, now: float) -> None:
+    def schedule_release(self, now: float) -> None:
         """Start waiting calls when their time comes, too: of few calls none may end by then."""
         seconds = self.admission.seconds_to_next_start(now)
         if seconds is None:
--- a/dunlinsaddle/mesh/dialect.py
+++ b/dunlinsaddle/mesh/dialect.py
@@ -1,9 +1,9 @@
 """Speaks to the local target as the platform's targets expect it."""
 
+from dunlinsaddle.calls.call_state import PendingCall, RunningCall
 from dunlinsaddle.calls.http import HttpResponse
 from dunlinsaddle.calls.messages import Headers, Reply
 from dunlinsaddle.calls.target import LocalTarget, Said
-from dunlinsaddle.calls.work import Running, Work
 from dunlinsaddle.platform.requests import answers, read_answer, read_said, target_headers
 
 
@@ -13,12 +13,12 @@
     def __init__(self, target: LocalTarget) -> None:
         self.target = target
 
-    def headers(self, work: Work, running: Running, seconds: float) -> Headers:
+    def headers(self, work: PendingCall, running: RunningCall, seconds: float) -> Headers:
         """Give the caller's headers, the time left, and the incarnation that is meant."""
         organisation = work.ctx.organisation
         return target_headers(work.headers, seconds, self.target.target_id, organisation)
 
-    def belongs(self, work: Work, headers: Headers) -> bool:
+    def belongs(self, work: PendingCall, headers: Headers) -> bool:
         """Say whether an answer names this request, or none."""
         return answers(work.ctx.request_id, headers)
 
--- a/dunlinsaddle/mesh/entry.py
+++ b/dunlinsaddle/mesh/entry.py
@@ -10,12 +10,12 @@
 
 from dunlinsaddle.access.gate import Gate, Holder, rank_of
 from dunlinsaddle.access.quotas import Quotas
+from dunlinsaddle.calls.call_state import PendingCall, RunningCall, RunningCalls, WaitTime
 from dunlinsaddle.calls.decisions import DecisionLog
 from dunlinsaddle.calls.dispatch import Dispatcher
-from dunlinsaddle.calls.faces import fingerprint
+from dunlinsaddle.calls.handlers import request_fingerprint
 from dunlinsaddle.calls.http import FIRST_ERROR_STATUS, HttpRequest, HttpResponse
 from dunlinsaddle.calls.messages import Reply, refusal
-from dunlinsaddle.calls.work import Running, RunningCalls, Waits, Work
 from dunlinsaddle.errors import ErrorKind, Failure, Outcome
 from dunlinsaddle.loops import OnLoop
 from dunlinsaddle.mesh.resends import Attempts
@@ -55,7 +55,7 @@
         running: RunningCalls,
         rng: Random,
         decisions: DecisionLog,
-        on_end: Callable[[Work, Reply, float], None],
+        on_end: Callable[[PendingCall, Reply, float], None],
         quotas: Quotas,
     ) -> None:
         self.quotas = quotas
@@ -86,7 +86,7 @@
             return _refused(terms, ErrorKind.NO_ROUTE)
         loop = self.loop
         began = loop.time()
-        parent = self.running.parent_of(terms.request_id)
+        parent = self.running.find_parent(terms.request_id)
         match self.gate.holder_of(terms, table, route, parent, settled=settled):
             case Err(failure):
                 self._note_denied(terms.request_id, route.name, failure)
@@ -113,16 +113,16 @@
         self.on_end(work, reply, took)
         return caller_response(reply, terms.request_id)
 
-    async def _answer(self, work: Work, parent: Running | None, holder: Holder) -> Reply:
+    async def _answer(self, work: PendingCall, parent: RunningCall | None, holder: Holder) -> Reply:
         """Give the answer to a request, or to a call of the local target."""
         if parent is not None:
-            return await self.dispatcher.dispatch(work, parent.work.ctx.rule)
+            return await self.dispatcher.dispatch(work, parent.call.ctx.rule)
         rule = work.ctx.rule
         # The most valued go last: one in five that is whole is worth the work of the others.
         held_back = work.ctx.priority.rank is not Rank.CRITICAL
         if held_back and not self.outcomes.admits(self.now(), rule):
-            return self.dispatcher.refuse_early(work)
-        early = self.dispatcher.refused_early(work)
+            return self.dispatcher.refuse_failing_rule(work)
+        early = self.dispatcher.find_early_refusal(work)
         if early is not None:
             return early
         match await self.quotas.take(holder):
@@ -143,9 +143,9 @@
         version, age = self.follower.version, self.gate.freshness.age
         self.decisions.denied(request_id, rule, failure, version, age, organisation)
 
-    def _learn_cost(self, work: Work, load: Load, parent: Running | None) -> None:
+    def _learn_cost(self, work: PendingCall, load: Load, parent: RunningCall | None) -> None:
         if parent is not None:
-            parent.cost_below += load.cost
+            parent.downstream_cost += load.cost
             return
         ctx = work.ctx
         self.costs.record(self.now(), ctx.rule, ctx.priority.rank, load.cost)
@@ -155,11 +155,11 @@
         req: HttpRequest,
         terms: CallerTerms,
         route: Route,
-        parent: Running | None,
+        parent: RunningCall | None,
         holder: Holder,
         *,
         keyed: bool,
-    ) -> Work:
+    ) -> PendingCall:
         now = self.now()
         time_left = COMMON_TIME if terms.time_left is None else terms.time_left
         timeout = math.inf if route.timeout is None else route.timeout
@@ -172,7 +172,7 @@
             # Failure: calls of a rank of their own are admitted by another level than the one
             # that entries compare requests with, so that a service tells "full from rank 1 on"
             # and all lookups of rank 2 are refused.
-            priority = parent.work.ctx.priority
+            priority = parent.call.ctx.priority
         ctx = CallContext(
             request_id=request_id,
             caller=req.remote,
@@ -184,20 +184,22 @@
             hop=0,
             idempotent=route.idempotent,
             key='',
-            fingerprint=fingerprint(req, service),
+            fingerprint=request_fingerprint(req, service),
             useful_until=math.inf if route.objective is None else now + route.objective,
             organisation=holder.name if holder else '',
         )
         if parent is not None:
-            ctx = _on_behalf(ctx, parent.work.ctx)
+            ctx = _on_behalf(ctx, parent.call.ctx)
         headers = travelling_headers(req, self.service, keyed=keyed)
         tokens = Attempts(route.attempts - 1)
-        return Work(ctx, req.method, req.path, headers, req.body, tokens, Waits(), [])
+        return PendingCall(ctx, req.method, req.path, headers, req.body, tokens, WaitTime(), [])
 
 
-def _note_failed(parent: Running, work: Work, reply: Reply) -> None:
-    parent.come_back_after = max(parent.come_back_after, reply.retry_after, FAILED_BELOW)
-    parent.failed_call = reply.cause or f'{work.ctx.service} {reply.kind or reply.status}'
+def _note_failed(parent: RunningCall, work: PendingCall, reply: Reply) -> None:
+    parent.downstream_retry_after = max(
+        parent.downstream_retry_after, reply.retry_after, FAILED_BELOW
+    )
+    parent.downstream_failure = reply.cause or f'{work.ctx.service} {reply.kind or reply.status}'
 
 
 def _on_behalf(ctx: CallContext, root: CallContext) -> CallContext:
--- a/dunlinsaddle/mesh/node.py
+++ b/dunlinsaddle/mesh/node.py
@@ -12,8 +12,9 @@
 from dunlinsaddle.access.gate import Gate
 from dunlinsaddle.access.peers import GossipPeers
 from dunlinsaddle.access.quotas import Quotas
+from dunlinsaddle.calls.call_state import PendingCall, RunningCalls, read_call_frame
 from dunlinsaddle.calls.client import HttpClient
-from dunlinsaddle.calls.deaths import DeathNews
+from dunlinsaddle.calls.crash_notifier import CrashNotifier
 from dunlinsaddle.calls.decisions import DecisionLog
 from dunlinsaddle.calls.dispatch import Dispatcher
 from dunlinsaddle.calls.execute import Executor
@@ -24,7 +25,6 @@
 from dunlinsaddle.calls.messages import Call, Reply
 from dunlinsaddle.calls.peer_server import PeerServer
 from dunlinsaddle.calls.target import LocalTarget
-from dunlinsaddle.calls.work import RunningCalls, Work, work_of
 from dunlinsaddle.environment import Environment
 from dunlinsaddle.loops import OnLoop
 from dunlinsaddle.membership.agent import GossipAgent
@@ -157,8 +157,8 @@
         self.quotas = Quotas(cfg.instance, peers, self.ledger, self.follower.organisation)
         self.agent.on_quota = self.quotas.hear
         self.peer_server.on_records = self.follower.answer
-        self.deaths = DeathNews(self.links, self.quarantine, self._others, self.logger)
-        self.peer_server.on_deaths = self.deaths.hear
+        self.deaths = CrashNotifier(self.links, self.quarantine, self._others, self.logger)
+        self.peer_server.on_deaths = self.deaths.receive
 
     def _build_calls(self) -> None:
         cfg = self.settings
@@ -170,7 +170,7 @@
             self.running,
             self.stats,
             self.quarantine,
-            on_death=self.deaths.tell,
+            on_target_crash=self.deaths.broadcast,
             dialect=MeshDialect(self.target),
         )
         self.target.on_start = self._target_started
@@ -189,12 +189,12 @@
         )
         bounds = cfg.bounds
         self.budget = RetryBudget(bounds.retry_ratio, bounds.retry_extra, bounds.retry_window)
-        self.dispatcher.resends = BudgetResends(self.budget)
+        self.dispatcher.resend_policy = BudgetResends(self.budget)
         self.dispatcher.decisions = self.decisions
         self.executor.decisions = self.decisions
         self.news = TargetNews(self.target, self.admission, self.decisions, self._announce_self)
-        self.executor.on_said = self.news.hear
-        self.executor.told = self.news.told
+        self.executor.on_target_status = self.news.hear
+        self.executor.target_status = self.news.told
 
     def _build_faces(self) -> None:
         cfg = self.settings
@@ -365,14 +365,14 @@
         if self.target.draining:
             self.executor.refuse_waiting()
 
-    def _ended(self, work: Work, reply: Reply, took: float) -> None:
+    def _ended(self, work: PendingCall, reply: Reply, took: float) -> None:
         rank = work.ctx.priority.rank.name.lower()
         self.stats.count(CallLabel(work.ctx.service, rank, reply.outcome.value, reply.kind))
         self.stats.took(Hop.WHOLE, took)
 
     async def _serve_peer(self, call: Call) -> Reply:
         self.news.recall(call.request_id, call.told)
-        return await self.executor.execute(work_of(call, self.now()))
+        return await self.executor.execute(read_call_frame(call, self.now()))
 
     def _peer_fault(self, call: Call) -> None:
         self.stats.faults += 1
--- a/dunlinsaddle/mesh/resends.py
+++ b/dunlinsaddle/mesh/resends.py
@@ -1,7 +1,7 @@
 """Which requests go to a further target, and the budget that pays for it."""
 
+from dunlinsaddle.calls.call_state import PendingCall
 from dunlinsaddle.calls.messages import Reply
-from dunlinsaddle.calls.work import Work
 from dunlinsaddle.errors import ErrorKind, Outcome
 from dunlinsaddle.loops import OnLoop
 from dunlinsaddle.policy.retry import LOST_ANSWER_KINDS, REFUSED_BY_NODE, RetryAllowance
@@ -38,18 +38,18 @@
     def __init__(self, budget: RetryBudget) -> None:
         self.budget = budget
 
-    def allows(self, work: Work, reply: Reply) -> bool:
+    def allows(self, call: PendingCall, reply: Reply) -> bool:
         """Say whether another target may be given a call that ended so."""
         if not reply.kind:
-            return _failed_alone(reply) and work.ctx.idempotent and not work.ctx.hop
+            return _failed_alone(reply) and call.ctx.idempotent and not call.ctx.hop
         kind = ErrorKind(reply.kind)
         if reply.outcome is Outcome.NOT_RUN:
             return kind in REFUSED_BY_NODE or kind is ErrorKind.TARGET_REFUSED
-        return work.ctx.idempotent and kind in LOST_ANSWER_KINDS
+        return call.ctx.idempotent and kind in LOST_ANSWER_KINDS
 
-    def spend(self, work: Work, reply: Reply) -> bool:
+    def spend(self, call: PendingCall, reply: Reply) -> bool:
         """Pay for sending it; False when there is nothing left to pay with."""
-        allowance = work.allowance
+        allowance = call.allowance
         assert isinstance(allowance, Attempts)
         if reply.outcome is Outcome.NOT_RUN and ErrorKind(reply.kind) in REFUSED_BY_NODE:
             allowance.refused += 1
@@ -58,25 +58,25 @@
         turned_away = reply.kind == ErrorKind.TARGET_REFUSED.value
         if allowance.sends > (TURNED_AWAY_MOST if turned_away else LOST_MOST):
             return False
-        if not self.budget.spend(self.now(), work.ctx.service, work.ctx.priority.level):
+        if not self.budget.spend(self.now(), call.ctx.service, call.ctx.priority.level):
             return False
         allowance.spend()
         return True
 
-    def only_again(self, work: Work) -> bool:
+    def is_limited_to_tried_targets(self, call: PendingCall) -> bool:
         """Say whether a call goes to the targets that were given it, and to no further one.
 
         Failure: all targets of a service turn away half of what arrives. A route allows two
         targets for each request: a quarter of the calls failed, and nearly all requests that
         need eight. One more send to a target that was given it is as good as to another.
         """
-        return work.allowance.tokens == 0
+        return call.allowance.tokens == 0
 
-    def repeated(self, work: Work, reply: Reply) -> Work:
+    def prepare_resend(self, call: PendingCall, reply: Reply) -> PendingCall:
         """Mark what may have run before: the calls that its next run makes are repeats, too."""
         if reply.outcome is Outcome.NOT_RUN:
-            return work
-        return work._replace(ctx=work.ctx._replace(is_resend=True))
+            return call
+        return call._replace(ctx=call.ctx._replace(is_resend=True))
 
 
 def _failed_alone(reply: Reply) -> bool:
--- a/dunlinsaddle/metrics.py
+++ b/dunlinsaddle/metrics.py
@@ -16,7 +16,7 @@
 from opentelemetry.sdk.resources import Resource
 
 from dunlinsaddle import __version__
-from dunlinsaddle.calls.once import OnceGate
+from dunlinsaddle.calls.idempotency import IdempotencyRouter
 from dunlinsaddle.records.book import RecordBook
 from dunlinsaddle.stats import QUEUE_BOUNDS, Stats
 
@@ -144,7 +144,7 @@
     )
 
 
-def observe_keys(metrics: Metrics, gate: OnceGate, service: Callable[[], str]) -> None:
+def observe_keys(metrics: Metrics, gate: IdempotencyRouter, service: Callable[[], str]) -> None:
     """Add the instruments of the key ranges that a node owns and the keys that it remembers."""
     metrics.gauge(
         'dunlinsaddle.key_ranges',
--- a/dunlinsaddle/node.py
+++ b/dunlinsaddle/node.py
@@ -9,21 +9,21 @@
 from typing import Any
 
 from dunlinsaddle.admin import OperatorsFace
+from dunlinsaddle.calls.call_state import RunningCalls, read_call_frame, record_added_latency
 from dunlinsaddle.calls.client import HttpClient
-from dunlinsaddle.calls.deaths import DeathNews
+from dunlinsaddle.calls.crash_notifier import CrashNotifier
 from dunlinsaddle.calls.dispatch import Dispatcher
 from dunlinsaddle.calls.execute import Executor
-from dunlinsaddle.calls.faces import CallerFace, LocalFace
 from dunlinsaddle.calls.frames import LinkLimits
-from dunlinsaddle.calls.handover import hand_over, log_handed, take_over
+from dunlinsaddle.calls.handlers import CallerHandler, LocalTargetHandler
+from dunlinsaddle.calls.handover import hand_over_keys, log_handover, take_over_keys
 from dunlinsaddle.calls.http import HttpLimits, HttpRequest
+from dunlinsaddle.calls.idempotency import IdempotencyRouter
 from dunlinsaddle.calls.link import PeerLinks
 from dunlinsaddle.calls.listener import HttpFace
 from dunlinsaddle.calls.messages import Call, Reply
-from dunlinsaddle.calls.once import OnceGate
 from dunlinsaddle.calls.peer_server import PeerServer
 from dunlinsaddle.calls.target import LocalTarget
-from dunlinsaddle.calls.work import RunningCalls, count_added, work_of
 from dunlinsaddle.environment import Environment
 from dunlinsaddle.membership.agent import GossipAgent
 from dunlinsaddle.membership.liveness import TargetWatch
@@ -77,7 +77,7 @@
         self.links = PeerLinks(settings.peer_key, settings.instance, link_limits)
         self.admission = Admission()
         self.quarantine = Quarantine()
-        self.deaths = DeathNews(self.links, self.quarantine, self._warned_of_deaths, logger)
+        self.deaths = CrashNotifier(self.links, self.quarantine, self._warned_of_deaths, logger)
         self.executor = Executor(
             self.target,
             self.admission,
@@ -86,7 +86,7 @@
             self.stats,
             self.quarantine,
             self._observes,
-            self.deaths.tell,
+            self.deaths.broadcast,
         )
         self.target.on_start = self._target_started
         router = Router(settings.domain, Random(env.rng.random()), settings.instance)
@@ -113,7 +113,7 @@
         horizon = int(self.settings.range_horizon * 1000)
         self.clock = clock
         self.keeper = RangeKeeper(self.store, me, clock.now, rng, horizon)
-        self.once = OnceGate(
+        self.once = IdempotencyRouter(
             self.keeper,
             self.view,
             router,
@@ -123,7 +123,7 @@
             rng,
             self._key_window,
         )
-        self.dispatcher.once = self.once
+        self.dispatcher.idempotency_router = self.once
         self.ranges = LocalRanges(self.keeper, self.view, self._served)
 
     def _served(self) -> Served:
@@ -142,8 +142,8 @@
             cfg.header_timeout,
             cfg.idle_timeout,
         )
-        callers = CallerFace(self.book, self.dispatcher, self.stats, self._outcome_unknown)
-        self.local = LocalFace(self.target, self.running, self.book, self.dispatcher)
+        callers = CallerHandler(self.book, self.dispatcher, self.stats, self._outcome_unknown)
+        self.local = LocalTargetHandler(self.target, self.running, self.book, self.dispatcher)
         operators = OperatorsFace(self, self.env.wall_clock)
         self.callers_http = HttpFace(callers.handle, limits, self._fault)
         self.local_http = HttpFace(self.local.handle, limits, self._fault)
@@ -154,8 +154,8 @@
         rng = Random(self.env.rng.random())
         sync = RecordSync(self.book, self.store, self.view, self.links, self.me, rng, self.logger)
         self.peer_server.on_records = sync.take
-        self.peer_server.on_deaths = self.deaths.hear
-        self.peer_server.on_keys = partial(take_over, self.once.tables)
+        self.peer_server.on_deaths = self.deaths.receive
+        self.peer_server.on_keys = partial(take_over_keys, self.once.tables)
         return sync
 
     def _build_instruments(self) -> Metrics:
@@ -216,7 +216,7 @@
     async def drain(self) -> None:
         """Take no new work, tell the others, and wait for what is in progress."""
         self.target.leaving = True
-        self.local.changed.set()
+        self.local.target_changed.set()
         self.callers_http.start_closing()
         # Not awaited here: a platform that is out must not hold up the drain.
         handing_over = asyncio.create_task(self.ranges.keep())
@@ -234,8 +234,8 @@
                 await handing_over
                 self.keeper.close()
                 await self.once.wait_idle()
-                handed = await hand_over(self.once.tables, self.keeper, self.view, self.links)
-                log_handed(self.logger, handed)
+                handed = await hand_over_keys(self.once.tables, self.keeper, self.view, self.links)
+                log_handover(self.logger, handed)
                 await self.local_http.wait_idle()
 
     async def stop(self) -> None:
@@ -317,12 +317,12 @@
 
     async def _serve_peer(self, call: Call) -> Reply:
         if not call.idempotent and not call.owned:
-            return await self.once.serve(call)
+            return await self.once.handle_peer_call(call)
         loop = asyncio.get_running_loop()
         began = loop.time()
-        work = work_of(call, began)
+        work = read_call_frame(call, began)
         reply = await self.executor.execute(work)
-        count_added(self.stats, work, reply, loop.time() - began)
+        record_added_latency(self.stats, work, reply, loop.time() - began)
         return reply
 
     async def _announce_loop(self) -> None:
@@ -332,9 +332,9 @@
             # node told to stop would hang.
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(WATCH_SECONDS):
-                    await self.local.changed.wait()
-            if self.local.changed.is_set():
-                self.local.changed.clear()
+                    await self.local.target_changed.wait()
+            if self.local.target_changed.is_set():
+                self.local.target_changed.clear()
                 self.target_watch.heard(loop.time())
             elif await self._target_gone(loop.time()):
                 self.logger.warning('target gone', extra={'service': self.target.service})
--- a/dunlinsaddle/operated.py
+++ b/dunlinsaddle/operated.py
@@ -5,7 +5,7 @@
 
 from dunlinsaddle.calls.dispatch import Dispatcher
 from dunlinsaddle.calls.execute import Executor
-from dunlinsaddle.calls.once import OnceGate
+from dunlinsaddle.calls.idempotency import IdempotencyRouter
 from dunlinsaddle.calls.target import LocalTarget
 from dunlinsaddle.membership.view import MemberView
 from dunlinsaddle.metrics import Metrics
@@ -41,6 +41,6 @@
     admission: Admission
     executor: Executor
     dispatcher: Dispatcher
-    once: OnceGate
+    once: IdempotencyRouter
     instruments: Metrics
     stats: Stats
--- a/tests/builders.py
+++ b/tests/builders.py
@@ -11,8 +11,8 @@
 from typing import Any
 
 from dunlinsaddle.access.freshness import Freshness
+from dunlinsaddle.calls.call_state import PendingCall
 from dunlinsaddle.calls.messages import Call, Reply
-from dunlinsaddle.calls.work import Work
 from dunlinsaddle.environment import Environment
 from dunlinsaddle.errors import Outcome
 from dunlinsaddle.membership.view import Member, MemberView, State
@@ -157,7 +157,7 @@
     return Ticket(call_id, level=200, arrived_at=0.0, deadline=10.0)._replace(**changes)
 
 
-def build_work(tokens: int = 3, **changes: Any) -> Work:
+def build_work(tokens: int = 3, **changes: Any) -> PendingCall:
     ctx = CallContext(
         request_id='request-1',
         caller='tablet',
@@ -171,7 +171,7 @@
         key='',
         fingerprint=1,
     )
-    return Work(ctx._replace(**changes), 'GET', '/orders/1', [], b'', RetryAllowance(tokens))
+    return PendingCall(ctx._replace(**changes), 'GET', '/orders/1', [], b'', RetryAllowance(tokens))
 
 
 def build_call(call_id: int = 1, **changes: Any) -> Call:
@@ -201,7 +201,7 @@
     return Reply(**{**values, 'body': body, **changes})
 
 
-def build_release(key: str = '', **changes: Any) -> Work:
+def build_release(key: str = '', **changes: Any) -> PendingCall:
     """Build a call that must run at most once; where a loop runs, for its deadline."""
     work = build_work(
         2,
--- a/tests/once_cluster.py
+++ b/tests/once_cluster.py
@@ -9,10 +9,10 @@
 import msgspec
 from result import Err
 
-from dunlinsaddle.calls.handover import hand_over, take_over
+from dunlinsaddle.calls.call_state import PendingCall, read_call_frame
+from dunlinsaddle.calls.handover import hand_over_keys, take_over_keys
+from dunlinsaddle.calls.idempotency import IdempotencyRouter
 from dunlinsaddle.calls.messages import Call, KeysPush, Lost, NotSent, Reply, refusal
-from dunlinsaddle.calls.once import OnceGate
-from dunlinsaddle.calls.work import Work, work_of
 from dunlinsaddle.errors import ErrorKind, Failure, Outcome
 from dunlinsaddle.membership.view import Member, MemberView, State
 from dunlinsaddle.once.keeper import RangeKeeper, SteadyClock
@@ -72,7 +72,7 @@
         links: Any = SimpleNamespace(call=self.call, give_keys=self.give_keys)
         self.links = links
         executor: Any = SimpleNamespace(execute=self.execute)
-        self.gate = OnceGate(
+        self.gate = IdempotencyRouter(
             self.keeper,
             self.view,
             Router('bangor-hall', rng),
@@ -83,15 +83,15 @@
             lambda service: 900.0,
         )
 
-    async def call(self, address: Address, call: Call) -> Reply | NotSent | Lost:
+    async def call(self, address: Address, frame: Call) -> Reply | NotSent | Lost:
         peer = self.cluster.nodes.get(address.host)
         if peer is None or frozenset((self.name, peer.name)) in self.cluster.cuts:
             return NotSent('no link')
         if peer.name in self.cluster.frozen:
             return Lost('no answer', ErrorKind.DEADLINE_EXCEEDED)
-        if call.owned:
-            return await peer.execute(work_of(call, self.loop.time()))
-        reply = await peer.gate.serve(call)
+        if frame.owned:
+            return await peer.execute(read_call_frame(frame, self.loop.time()))
+        reply = await peer.gate.handle_peer_call(frame)
         if self.cluster.lose_replies > 0:
             self.cluster.lose_replies -= 1
             return Lost('the link ended')
@@ -102,7 +102,7 @@
         reached = frozenset((self.name, address.host)) not in self.cluster.cuts
         if peer is None or not reached or address.host in self.cluster.frozen:
             return False
-        take_over(peer.gate.tables, msgspec.convert(msgspec.to_builtins(push), KeysPush))
+        take_over_keys(peer.gate.tables, msgspec.convert(msgspec.to_builtins(push), KeysPush))
         return True
 
     async def leave(self) -> None:
@@ -111,13 +111,13 @@
         await self.tick()
         self.keeper.close()
         await self.gate.wait_idle()
-        await hand_over(self.gate.tables, self.keeper, self.view, self.links)
+        await hand_over_keys(self.gate.tables, self.keeper, self.view, self.links)
         for node in self.cluster.nodes.values():
             node.view.take(self.cluster.member(self.name)._replace(state=State.LEFT))
 
-    async def execute(self, work: Work) -> Reply:
-        reply = await self.run_target(work.ctx.key)
-        reply.unspent = work.allowance.tokens
+    async def execute(self, call: PendingCall) -> Reply:
+        reply = await self.run_target(call.ctx.key)
+        reply.unspent = call.allowance.tokens
         return reply
 
     async def run_target(self, key: str) -> Reply:
@@ -130,8 +130,8 @@
             return refusal(Failure(self.fails))
         return Reply(0, 200, [], f'{key} at {self.name}'.encode(), Outcome.DONE)
 
-    async def enter(self, work: Work) -> Reply:
-        return await self.gate.enter(work)
+    async def enter(self, call: PendingCall) -> Reply:
+        return await self.gate.handle(call)
 
     async def tick(self) -> None:
         serving = [m.instance for m in self.view.serving(SERVICE)]
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -1,6 +1,7 @@
 import asyncio
 from random import Random
 
+from dunlinsaddle.calls.call_state import PendingCall, RunningCalls
 from dunlinsaddle.calls.client import HttpClient
 from dunlinsaddle.calls.connection import Answered
 from dunlinsaddle.calls.dispatch import Dispatcher
@@ -8,7 +9,6 @@
 from dunlinsaddle.calls.http import HttpResponse
 from dunlinsaddle.calls.messages import Call, Lost, NotSent, Reply, refusal
 from dunlinsaddle.calls.target import LocalTarget
-from dunlinsaddle.calls.work import RunningCalls, Work
 from dunlinsaddle.errors import ErrorKind, Failure, Outcome
 from dunlinsaddle.membership.view import MemberView
 from dunlinsaddle.policy.admission import Admission
@@ -30,15 +30,15 @@
         self.replies = list(replies)
         self.calls: list[Call] = []
 
-    async def call(self, address: Address, call: Call) -> Reply | NotSent | Lost:
-        self.calls.append(call)
+    async def call(self, address: Address, frame: Call) -> Reply | NotSent | Lost:
+        self.calls.append(frame)
         return self.replies.pop(0)
 
 
 class FakeGate:
     """An owner that answers from its table."""
 
-    async def enter(self, work: Work) -> Reply:
+    async def handle(self, call: PendingCall) -> Reply:
         return DONE
 
 
@@ -58,8 +58,8 @@
     running: RunningCalls
 
     async def send(self, address, req, timeout, *, may_repeat=None, belongs=None):
-        call = self.running.find(dict(req.headers)[b'dunlinsaddle-call'].decode())
-        call.come_back_after = 2.0
+        running_call = self.running.find(dict(req.headers)[b'dunlinsaddle-call'].decode())
+        running_call.downstream_retry_after = 2.0
         return Answered(HttpResponse(502, [], b''))
 
 
@@ -89,7 +89,7 @@
         links: FakeLinks,
         quarantine: Quarantine | None = None,
         router: Router | None = None,
-        **work,
+        **changes,
     ) -> Reply:
         async def scenario() -> Reply:
             view = MemberView()
@@ -105,7 +105,7 @@
                 Stats(),
                 known,
             )
-            return await dispatcher.dispatch(build_work(**work))
+            return await dispatcher.dispatch(build_work(**changes))
 
         return self.run_paused(scenario())
 
@@ -142,7 +142,7 @@
                 Stats(),
                 known,
             )
-            dispatcher.once = FakeGate()
+            dispatcher.idempotency_router = FakeGate()
             now = asyncio.get_running_loop().time()
             executor.levels.record_response(now, 'cut-orders', 'read', ReportedLevel(-1.0))
             keyed = await dispatcher.dispatch(build_work(key='a-key', idempotent=False))
@@ -156,7 +156,7 @@
         # Callers give up while a target is slow. Were their calls still counted as on their
         # way to it, it would look ever more loaded and be given less and less work.
         class SlowLinks:
-            async def call(self, address, call):
+            async def call(self, address, frame):
                 await asyncio.sleep(60)
 
         async def scenario() -> tuple[int, int]:
@@ -205,9 +205,9 @@
 
 
 class ExecuteTest(PausedClockTest):
-    def execute(self, executor_of, **work) -> Reply:
+    def execute(self, executor_of, **changes) -> Reply:
         async def scenario() -> Reply:
-            return await executor_of().execute(build_work(**work))
+            return await executor_of().execute(build_work(**changes))
 
         return self.run_paused(scenario())
 
@@ -215,8 +215,8 @@
         heard: list[tuple[int, int]] = []
 
         def build() -> Executor:
-            on_death = lambda fingerprint, deaths: heard.append((fingerprint, deaths))  # noqa: E731
-            return build_executor(DeadTarget(), Quarantine(), on_death=on_death)
+            on_target_crash = lambda fingerprint, deaths: heard.append((fingerprint, deaths))  # noqa: E731
+            return build_executor(DeadTarget(), Quarantine(), on_target_crash=on_target_crash)
 
         reply = self.execute(build, fingerprint=5)
         self.assertEqual((1, Outcome.UNKNOWN), (reply.deaths, reply.outcome))
@@ -246,7 +246,9 @@
         # Two targets died of one request, one of the other. Beside the older system neither is
         # refused or made to wait for the other; what enforcing would refuse is counted.
         async def scenario() -> tuple[list[int], float, int]:
-            executor = build_executor(SlowTarget(), Quarantine(), observes=lambda service: True)
+            executor = build_executor(
+                SlowTarget(), Quarantine(), is_observe_only=lambda service: True
+            )
             works = [build_work(fingerprint=n, deaths=d) for n, d in ((1, 2), (2, 1), (3, 1))]
             replies = await asyncio.gather(*map(executor.execute, works))
             refused = executor.stats.observed_refusals[ErrorKind.QUARANTINED.value]
@@ -261,7 +263,9 @@
         # The older system still protects the service. This one would refuse the call, and
         # must only count that: two systems that both refuse would starve the targets.
         async def scenario() -> tuple[Reply, int]:
-            executor = build_executor(LiveTarget(), Quarantine(), observes=lambda service: True)
+            executor = build_executor(
+                LiveTarget(), Quarantine(), is_observe_only=lambda service: True
+            )
             executor.admission.limit = 0
             replies = await asyncio.gather(*(executor.execute(build_work()) for _ in range(5)))
             return replies[-1], sum(executor.stats.observed_refusals.values())
--- a/tests/test_once.py
+++ b/tests/test_once.py
@@ -1,10 +1,10 @@
 import asyncio
 from typing import Any
 
-from dunlinsaddle.calls.faces import CallerFace
+from dunlinsaddle.calls.call_state import PendingCall
+from dunlinsaddle.calls.handlers import CallerHandler
 from dunlinsaddle.calls.http import HttpRequest
 from dunlinsaddle.calls.messages import Reply, refusal
-from dunlinsaddle.calls.work import Work
 from dunlinsaddle.errors import ErrorKind, Failure, Outcome
 from dunlinsaddle.membership.view import State
 from dunlinsaddle.records.book import RecordBook
@@ -19,17 +19,17 @@
     def test_an_entry_never_calls_a_running_key_not_run(self):
         # The caller is told "in progress" and asks again at once, a dozen times. The entry
         # damps resends, but "not run" from there would be a lie: the first send is running.
-        class Running:
-            once = None
+        class RunningKeyDispatcher:
+            idempotency_router = None
 
-            async def dispatch(self, work: Work) -> Reply:
+            async def dispatch(self, call: PendingCall) -> Reply:
                 return refusal(Failure(ErrorKind.KEY_IN_PROGRESS, retry_after=5.0))
 
         async def scenario() -> None:
             book = RecordBook()
             book.take(VersionedRecord('cut-orders', 1, build_record(resend_ratio=0.0)))
-            dispatcher: Any = Running()
-            face = CallerFace(book, dispatcher, Stats())
+            dispatcher: Any = RunningKeyDispatcher()
+            face = CallerHandler(book, dispatcher, Stats())
             headers = [(b'idempotency-key', b'order-17')]
             req = HttpRequest('POST', '/cut-orders/stock', headers, b'', '10.0.0.1')
             statuses = {(await face.handle(req)).status for _ in range(12)}
@@ -71,7 +71,7 @@
                 await owner.send(key)
             await owner.send(key, fingerprint=8)
             counts = {'accepted': 1, 'repeated': 2, 'key-reused': 1}
-            self.assertEqual(counts, dict(owner.gate.owned.stats.keys))
+            self.assertEqual(counts, dict(owner.gate.owned_keys.stats.keys))
             holdings = [n.keeper.holding(SERVICE) for n in cluster.nodes.values()]
             self.assertEqual(64, sum(holding.ranges for holding in holdings))
             await asyncio.sleep(30)
--- a/tests/test_ownership_model.py
+++ b/tests/test_ownership_model.py
@@ -10,8 +10,8 @@
 from testtools import ExpectedException, TestCase
 from testtools.content import text_content
 
+from dunlinsaddle.calls.call_state import PendingCall
 from dunlinsaddle.calls.messages import Reply
-from dunlinsaddle.calls.work import Work
 from dunlinsaddle.errors import ErrorKind
 from tests.once_cluster import NAMES, Cluster, Process
 
@@ -206,10 +206,10 @@
         super().__init__(cluster, name, epoch, skew)
         self.seen: dict[str, Reply] = {}
 
-    async def enter(self, work: Work) -> Reply:
-        if work.ctx.key not in self.seen:
-            self.seen[work.ctx.key] = await self.execute(work)
-        return self.seen[work.ctx.key]
+    async def enter(self, call: PendingCall) -> Reply:
+        if call.ctx.key not in self.seen:
+            self.seen[call.ctx.key] = await self.execute(call)
+        return self.seen[call.ctx.key]
 
 
 class NaiveCluster(Cluster):
