--- a/dunlinsaddle/calls/accepted_connection.py
+++ b/dunlinsaddle/calls/accepted_connection.py
@@ -1,29 +1,13 @@
 """One accepted connection: reads requests and answers them in order."""
-
 import asyncio
 import math
 from collections import deque
 from collections.abc import Awaitable, Callable
-from typing import Protocol, cast
-
-from dunlinsaddle.calls.http import (
-    HOP_BY_HOP,
-    HttpLimits,
-    HttpRequest,
-    HttpResponse,
-    failure_response,
-)
-from dunlinsaddle.calls.keepalive import watch_connection
-from dunlinsaddle.calls.wire import (
-    BODILESS,
-    BodyTooLarge,
-    Malformed,
-    RequestMessage,
-    RequestReader,
-    TooLarge,
-    encode_response,
-)
+from dunlinsaddle.calls.http import HOP_BY_HOP, HttpLimits, HttpRequest, HttpResponse, failure_response
+from dunlinsaddle.calls.http_codec import BODILESS_STATUSES, BodyTooLarge, HeadTooLarge, MalformedMessage, RequestMessage, RequestReader, encode_response
+from dunlinsaddle.calls.keepalive import enable_keepalive
 from dunlinsaddle.errors import ErrorKind, Failure
+from typing import Protocol, cast
 
 MAX_TARGET_BYTES = 8192  #: of a path with its query; RFC 9110, 4.1 asks for 8,000 at least
 CONTINUE = b'HTTP/1.1 100 Continue\r\n\r\n'
@@ -73,7 +57,7 @@
         self.transport: asyncio.Transport
         self.timer: asyncio.TimerHandle | None = None
         self.expires_at = math.inf
-        self.reader = RequestReader(face.limits.header_bytes, face.limits.body_bytes)
+        self.reader = RequestReader(face.limits.max_header_bytes, face.limits.max_body_bytes)
         self.answering: deque[_Exchange] = deque()
         self.waiting: deque[RequestMessage] = deque()  #: read, but not begun
         self.held = b''  #: not read yet
@@ -88,11 +72,11 @@
         self.transport = cast(asyncio.Transport, transport)
         # Any unsent byte pauses: a drain waits until the last answer has left the process.
         self.transport.set_write_buffer_limits(high=0)
-        watch_connection(transport)
+        enable_keepalive(transport)
         name = transport.get_extra_info('peername')
         self.remote = str(name[0]) if isinstance(name, tuple) else ''
         self.face.connections.add(self)
-        if len(self.face.connections) > self.face.limits.connections:
+        if len(self.face.connections) > self.face.limits.max_connections:
             self._refuse(Failure(ErrorKind.TOO_MANY_CONNECTIONS, retry_after=1.0))
             return
         self._set_timer(self.face.limits.header_timeout)
@@ -112,7 +96,7 @@
         self._advance()
         # Requests sent before the answer to the last one wait here. Without a bound a caller
         # that never reads its answers could fill the memory.
-        if len(self.held) > self.face.limits.header_bytes:
+        if len(self.held) > self.face.limits.max_header_bytes:
             self.transport.pause_reading()
 
     def eof_received(self) -> bool:
@@ -210,7 +194,7 @@
 
     def _read(self) -> None:
         # In pieces, so that few requests wait that were read and not begun.
-        size = self.face.limits.header_bytes
+        size = self.face.limits.max_header_bytes
         data, self.held = self.held[:size], self.held[size:]
         if self.reader.idle:
             # A sender that trickles bytes would hold a connection for ever: the time runs
@@ -220,11 +204,11 @@
             self.waiting.extend(self.reader.feed(data))
         except BodyTooLarge:
             self._refuse(Failure(ErrorKind.BODY_TOO_LARGE))
-        except TooLarge as exc:
+        except HeadTooLarge as exc:
             self._refuse(Failure(ErrorKind.HEADERS_TOO_LARGE, str(exc)))
-        except Malformed as exc:
+        except MalformedMessage as exc:
             self._refuse(Failure(ErrorKind.MALFORMED_REQUEST, str(exc)))
-        if self.reader.continues and not self.answering and not self.continued:
+        if self.reader.expects_continue and not self.answering and not self.continued:
             self.continued = True
             self.transport.write(CONTINUE)
 
@@ -266,7 +250,7 @@
 
     def _wire(self, exchange: _Exchange, response: HttpResponse) -> bytes:
         headers = [(n, v) for n, v in response.headers if n not in HOP_BY_HOP]
-        bodiless = exchange.method == b'HEAD' or response.status in BODILESS
+        bodiless = exchange.method == b'HEAD' or response.status in BODILESS_STATUSES
         if not bodiless:
             headers.append((b'content-length', b'%d' % len(response.body)))
         if not exchange.keep_alive:
--- a/dunlinsaddle/calls/call_state.py
+++ b/dunlinsaddle/calls/call_state.py
@@ -1,18 +1,16 @@
 """One call inside a node, and the calls that the local target is running."""
-
 import asyncio
 import itertools
 import secrets
 from collections.abc import Callable
-from typing import NamedTuple
-
-from dunlinsaddle.calls.http import FIRST_ERROR_STATUS
-from dunlinsaddle.calls.messages import MAX_BUDGET, Call, Headers, Reply, Told
+from dunlinsaddle.calls.http import MIN_SERVER_ERROR_STATUS
+from dunlinsaddle.calls.messages import Call, Headers, MAX_TIMEOUT_SECONDS, RelayedTargetState, Reply
 from dunlinsaddle.errors import Outcome
 from dunlinsaddle.policy.context import CallContext, Priority
 from dunlinsaddle.policy.retry import RetryAllowance
 from dunlinsaddle.records.models import Rank
 from dunlinsaddle.stats import Stats
+from typing import NamedTuple
 
 #: Tokens are drawn once and counted on: a draw for each call would be a system call more.
 _FIRST = secrets.token_hex(8)
@@ -50,7 +48,7 @@
     attempts: list[Attempt] | None = None  #: sends so far; None where nobody asks
 
 
-def build_call_frame(call: PendingCall, now: float, handed: int, told: Told | None = None) -> Call:
+def build_call_frame(call: PendingCall, now: float, handed: int, told: RelayedTargetState | None = None) -> Call:
     """Give the frame that hands a call to another node."""
     ctx = call.ctx
     return Call(
@@ -65,17 +63,17 @@
         rule=ctx.rule,
         rank=ctx.priority.rank,
         slot=ctx.priority.slot,
-        budget=ctx.deadline - now,
-        allowance=handed,
+        timeout=ctx.deadline - now,
+        retry_tokens=handed,
         hop=ctx.hop,
         idempotent=ctx.idempotent,
-        key=ctx.key,
+        idempotency_key=ctx.key,
         fingerprint=ctx.fingerprint,
         deaths=ctx.deaths,
-        useful=min(max(ctx.useful_until - now, 0.0), MAX_BUDGET),
-        repeated=ctx.is_resend,
+        useful_seconds=min(max(ctx.useful_until - now, 0.0), MAX_TIMEOUT_SECONDS),
+        resent=ctx.is_resend,
         organisation=ctx.organisation,
-        told=told,
+        target_state=told,
     )
 
 
@@ -87,18 +85,18 @@
         service=frame.service,
         rule=frame.rule,
         priority=Priority(Rank(frame.rank), frame.slot),
-        deadline=now + frame.budget,
-        allowance=frame.allowance,
+        deadline=now + frame.timeout,
+        allowance=frame.retry_tokens,
         hop=frame.hop,
         idempotent=frame.idempotent,
-        key=frame.key,
+        key=frame.idempotency_key,
         fingerprint=frame.fingerprint,
         deaths=frame.deaths,
-        useful_until=now + frame.useful,
-        is_resend=frame.repeated,
+        useful_until=now + frame.useful_seconds,
+        is_resend=frame.resent,
         organisation=frame.organisation,
     )
-    allowance = RetryAllowance(frame.allowance)
+    allowance = RetryAllowance(frame.retry_tokens)
     return PendingCall(
         ctx, frame.method, frame.path, frame.headers, frame.body, allowance, WaitTime()
     )
@@ -226,7 +224,7 @@
     Retry-After. The caller would ask again at once, and the routers would take the overload of
     a service below for a fault of this target.
     """
-    failed = reply.status >= FIRST_ERROR_STATUS and running.call.ctx.idempotent
+    failed = reply.status >= MIN_SERVER_ERROR_STATUS and running.call.ctx.idempotent
     if not failed or any(name == b'retry-after' for name, _ in reply.headers):
         return 0.0
     return running.downstream_retry_after
--- a/dunlinsaddle/calls/connection.py
+++ b/dunlinsaddle/calls/connection.py
@@ -6,15 +6,15 @@
 from typing import cast
 
 from dunlinsaddle.calls.http import HOP_BY_HOP, HttpRequest, HttpResponse
-from dunlinsaddle.calls.keepalive import watch_connection
-from dunlinsaddle.calls.messages import Headers, Lost, NotSent
-from dunlinsaddle.calls.wire import (
+from dunlinsaddle.calls.http_codec import (
     BodyTooLarge,
-    Malformed,
+    MalformedMessage,
     ResponseMessage,
     ResponseReader,
     encode_request,
 )
+from dunlinsaddle.calls.keepalive import enable_keepalive
+from dunlinsaddle.calls.messages import Headers, Lost, NotSent
 from dunlinsaddle.errors import ErrorKind
 
 MAX_HEAD_BYTES = 1 << 16  #: of an answer; common servers send a few hundred bytes
@@ -27,11 +27,13 @@
     response: HttpResponse
 
 
-Exchange = Answered | NotSent | Lost
-Belongs = Callable[[Headers], bool]  #: whether an answer is one to the request that was sent
+SendResult = Answered | NotSent | Lost
+ResponseMatcher = Callable[
+    [Headers], bool
+]  #: whether an answer is one to the request that was sent
 
 
-def any_answer(headers: Headers) -> bool:
+def match_any_response(headers: Headers) -> bool:
     """Take any answer for the one that belongs."""
     return True
 
@@ -39,26 +41,26 @@
 class ClientConnection(asyncio.Protocol):
     """One kept connection: a request at a time."""
 
-    def __init__(self, max_body_bytes: int, *, open_ended: bool) -> None:
+    def __init__(self, max_body_bytes: int, *, allow_close_delimited: bool) -> None:
         self.max_body_bytes = max_body_bytes
-        self.open_ended = open_ended
+        self.allow_close_delimited = allow_close_delimited
         self.loop = asyncio.get_running_loop()
         self.reader = ResponseReader(MAX_HEAD_BYTES, max_body_bytes)
         self.transport: asyncio.Transport
-        self.fut: asyncio.Future[Exchange] | None = None
+        self.fut: asyncio.Future[SendResult] | None = None
         self.heard = False
         self.closed = False
         self.answers = 0
         self.timer: asyncio.TimerHandle | None = None
         self.repeat: asyncio.Task[None] | None = None
         self.answered_at = 0.0
-        self.belongs: Belongs = any_answer
+        self.matches_request: ResponseMatcher = match_any_response
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Keep the transport."""
         # The transport of another loop need not be a subclass of asyncio's.
         self.transport = cast(asyncio.Transport, transport)
-        watch_connection(transport)
+        enable_keepalive(transport)
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Say what the end means for the request that is out."""
@@ -81,12 +83,14 @@
         except BodyTooLarge:
             detail = f'the answer is larger than {self.max_body_bytes} bytes'
             self.drop(Lost(detail, ErrorKind.OUTCOME_UNKNOWN))
-        except Malformed as exc:
+        except MalformedMessage as exc:
             self.drop(Lost(str(exc), ErrorKind.INCOMPLETE_ANSWER))
         else:
             self._take(messages)
 
-    def send(self, req: HttpRequest, host: bytes, belongs: 'Belongs') -> 'asyncio.Future[Exchange]':
+    def send(
+        self, req: HttpRequest, host: bytes, matches_request: 'ResponseMatcher'
+    ) -> 'asyncio.Future[SendResult]':
         """Write a request, with the host that it names or else the address.
 
         Raises ValueError, before any byte is written, for what is no HTTP.
@@ -96,7 +100,7 @@
         headers += [(n, v) for n, v in req.headers if n not in HOP_BY_HOP]
         wire = encode_request(req.method, req.path, headers, req.body)
         self.fut = self.loop.create_future()
-        self.belongs = belongs
+        self.matches_request = matches_request
         self.heard = False
         self.reader.bodiless = req.method == 'HEAD'
         self.transport.write(wire)
@@ -107,13 +111,13 @@
         fresh = self.loop.time() - self.answered_at <= within
         return fresh and not self.closed and not self.transport.is_closing()
 
-    def settle(self, exchange: Exchange) -> None:
+    def settle(self, exchange: SendResult) -> None:
         """End the wait of the request that is out, if one is."""
         fut, self.fut = self.fut, None
         if fut is not None and not fut.done():
             fut.set_result(exchange)
 
-    def drop(self, exchange: Exchange) -> None:
+    def drop(self, exchange: SendResult) -> None:
         """End the connection: what still comes on it belongs to nobody."""
         self.transport.abort()
         self.settle(exchange)
@@ -124,12 +128,12 @@
         An answer to an earlier request is passed over: the right one may follow on its heels.
         """
         for number, message in enumerate(messages):
-            if self.belongs(message.headers):
+            if self.matches_request(message.headers):
                 self._complete(message, extra=number + 1 < len(messages))
                 return
         if self.reader.broken:
             self.drop(Lost('bytes that are no answer', ErrorKind.INCOMPLETE_ANSWER))
-        elif not self.open_ended and self.reader.unframed:
+        elif not self.allow_close_delimited and self.reader.unframed:
             # A body that ends with the connection looks the same whole or cut.
             self.drop(Lost('the answer has no length', ErrorKind.OUTCOME_UNKNOWN))
 
@@ -147,6 +151,6 @@
         self.settle(Answered(HttpResponse(message.status, message.headers, message.body)))
 
     def _end(self) -> None:
-        message = self.reader.end() if self.open_ended else None
-        if message is not None and self.belongs(message.headers):
+        message = self.reader.end() if self.allow_close_delimited else None
+        if message is not None and self.matches_request(message.headers):
             self._answer(message)
--- a/dunlinsaddle/calls/crash_notifier.py
+++ b/dunlinsaddle/calls/crash_notifier.py
@@ -1,11 +1,9 @@
 """Word between nodes of requests that targets died of."""
-
 import asyncio
 import logging
 from collections.abc import Callable, Iterable
-
 from dunlinsaddle.calls.link import PeerLinks
-from dunlinsaddle.calls.messages import Deaths
+from dunlinsaddle.calls.messages import TargetDeaths
 from dunlinsaddle.loops import OnLoop
 from dunlinsaddle.membership.view import Member
 from dunlinsaddle.policy.quarantine import Quarantine
@@ -36,12 +34,12 @@
         extra = {'fingerprint': f'{fingerprint:016x}', 'deaths': deaths}
         self.logger.warning('target died while it ran a request', extra=extra)
         for member in self.others():
-            word = self.links.tell(member.peers, Deaths(fingerprint, deaths))
+            word = self.links.notify(member.peers, TargetDeaths(fingerprint, deaths))
             task = self.loop.create_task(word)
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
 
-    def receive(self, frame: Deaths) -> None:
+    def receive(self, frame: TargetDeaths) -> None:
         """Take the word of another node."""
         self.quarantine.merge_deaths(self.now(), frame.fingerprint, frame.deaths)
 
--- a/dunlinsaddle/calls/decisions.py
+++ b/dunlinsaddle/calls/decisions.py
@@ -5,19 +5,17 @@
 for samples. The line of a failed request holds its whole story, whatever lines before it were
 left out.
 """
-
 import logging
 from collections import Counter
-from enum import StrEnum
-
 from dunlinsaddle.calls.call_state import PendingCall
-from dunlinsaddle.calls.http import FIRST_ERROR_STATUS
+from dunlinsaddle.calls.http import MIN_SERVER_ERROR_STATUS
 from dunlinsaddle.calls.messages import Reply
-from dunlinsaddle.calls.target import Said
+from dunlinsaddle.calls.target import AdvertisedState
 from dunlinsaddle.errors import Failure, Outcome
 from dunlinsaddle.loops import OnLoop
 from dunlinsaddle.policy.admission import Load
 from dunlinsaddle.policy.context import CallContext
+from enum import StrEnum
 
 
 class Event(StrEnum):
@@ -33,14 +31,14 @@
     CANCELLED = 'request cancelled'
     UNROUTED = 'request without route'
     DENIED = 'request denied'
-    TARGET_SAID = 'target said'
+    TARGET_STATE = 'target said'
     OMITTED = 'decisions left out'
 
 
 #: Lines a second for each event. At 23 us a line (a failed request's, written to a file that is
 #: always ready), all 210 together take half a percent of a core; refusals come in floods of
 #: hundreds, of which a sample of fifty tells the cause.
-LINES_A_SECOND = {
+MAX_LINES_PER_SECOND = {
     Event.ROUTED: 4,
     Event.SENT: 4,
     Event.RESENT: 20,
@@ -51,7 +49,7 @@
     Event.CANCELLED: 10,
     Event.UNROUTED: 10,
     Event.DENIED: 20,
-    Event.TARGET_SAID: 4,
+    Event.TARGET_STATE: 4,
 }
 
 
@@ -64,7 +62,7 @@
         self._written: Counter[Event] = Counter()
         self._omitted: Counter[Event] = Counter()
 
-    def routed(self, work: PendingCall, version: int) -> None:
+    def log_routed(self, work: PendingCall, version: int) -> None:
         """Note the route and terms of a request, and the configuration they come from."""
         if self._has_room(Event.ROUTED):
             ctx = work.ctx
@@ -77,13 +75,13 @@
                 inner=bool(ctx.hop),
             )
 
-    def unrouted(self, request_id: str, host: str, path: str, version: int) -> None:
+    def log_unrouted(self, request_id: str, host: str, path: str, version: int) -> None:
         """Note a request that no route matches."""
         if self._has_room(Event.UNROUTED):
             extra = {'request_id': request_id, 'host': host, 'path': path, 'version': version}
             self.logger.info(Event.UNROUTED.value, extra=extra)
 
-    def denied(
+    def log_denied(
         self,
         request_id: str,
         rule: str,
@@ -110,7 +108,7 @@
         }
         self.logger.warning(Event.DENIED.value, extra=extra)
 
-    def sent(self, ctx: CallContext, instance: str, load: Load, candidates: int) -> None:
+    def log_sent(self, ctx: CallContext, instance: str, load: Load, candidates: int) -> None:
         """Note the instance that was chosen, by what its latest answer said of its load."""
         if self._has_room(Event.SENT):
             self._write(
@@ -123,7 +121,7 @@
                 candidates=candidates,
             )
 
-    def resent(self, ctx: CallContext, last: Reply, tries: int) -> None:
+    def log_resent(self, ctx: CallContext, last: Reply, tries: int) -> None:
         """Note that a request goes to a further target, and why."""
         if self._has_room(Event.RESENT):
             self._write(
@@ -135,7 +133,7 @@
                 tries=tries,
             )
 
-    def queued(self, ctx: CallContext, load: Load) -> None:
+    def log_queued(self, ctx: CallContext, load: Load) -> None:
         """Note that a request waits for a slot of the target beside this node."""
         if self._has_room(Event.QUEUED):
             self._write(
@@ -146,7 +144,7 @@
                 limit=load.limit,
             )
 
-    def refused(self, ctx: CallContext, failure: Failure, load: Load) -> None:
+    def log_refused(self, ctx: CallContext, failure: Failure, load: Load) -> None:
         """Note a refusal by the node beside a target, by the load that decided it."""
         if self._has_room(Event.REFUSED):
             self._write(
@@ -161,9 +159,9 @@
                 seconds_left=_rounded(ctx.deadline - self.now()),
             )
 
-    def ended(self, work: PendingCall, reply: Reply, seconds: float, version: int) -> None:
+    def log_completed(self, work: PendingCall, reply: Reply, seconds: float, version: int) -> None:
         """Note the answer that the caller gets, with all sends that led to it."""
-        failed = reply.outcome is not Outcome.DONE or reply.status >= FIRST_ERROR_STATUS
+        failed = reply.outcome is not Outcome.DONE or reply.status >= MIN_SERVER_ERROR_STATUS
         event = Event.FAILED if failed else Event.ANSWERED
         if self._has_room(event):
             self._write(
@@ -180,19 +178,24 @@
                 attempts=[attempt._asdict() for attempt in work.attempts or ()],
             )
 
-    def cancelled(self, ctx: CallContext, seconds: float) -> None:
+    def log_cancelled(self, ctx: CallContext, seconds: float) -> None:
         """Note that the caller went away while its request was in progress."""
         if self._has_room(Event.CANCELLED):
             self._write(Event.CANCELLED, ctx, seconds=_rounded(seconds), inner=bool(ctx.hop))
 
-    def target_said(
-        self, request_id: str, target_id: str, said: Said, before: Said, source: str
+    def log_target_state(
+        self,
+        request_id: str,
+        target_id: str,
+        said: AdvertisedState,
+        before: AdvertisedState,
+        source: str,
     ) -> None:
         """Note that a target says something else of itself than before.
 
         ``source`` is the answer to the request, or the entry that sent it and had been told.
         """
-        if not self._has_room(Event.TARGET_SAID):
+        if not self._has_room(Event.TARGET_STATE):
             return
         extra = {
             'request_id': request_id,
@@ -203,7 +206,7 @@
             'unreadable': said.unreadable,
             'source': source,
         }
-        self.logger.info(Event.TARGET_SAID.value, extra=extra)
+        self.logger.info(Event.TARGET_STATE.value, extra=extra)
 
     def _has_room(self, event: Event) -> bool:
         second = int(self.now())
@@ -211,7 +214,7 @@
             self._second = second
             self._tell_omitted()
             self._written.clear()
-        if self._written[event] >= LINES_A_SECOND[event]:
+        if self._written[event] >= MAX_LINES_PER_SECOND[event]:
             self._omitted[event] += 1
             return False
         self._written[event] += 1
--- a/dunlinsaddle/calls/dispatch.py
+++ b/dunlinsaddle/calls/dispatch.py
@@ -1,15 +1,12 @@
 """Sends a call to a target of its service, again elsewhere where that is safe."""
-
 import asyncio
-from typing import TYPE_CHECKING, NamedTuple, Protocol
-
 from dunlinsaddle.calls.call_state import Attempt, PendingCall, build_call_frame
 from dunlinsaddle.calls.decisions import DecisionLog
 from dunlinsaddle.calls.execute import Executor
-from dunlinsaddle.calls.http import FIRST_ERROR_STATUS
+from dunlinsaddle.calls.http import MIN_SERVER_ERROR_STATUS
 from dunlinsaddle.calls.link import PeerLinks
-from dunlinsaddle.calls.member_calls import candidates_of
-from dunlinsaddle.calls.messages import Lost, NotSent, Reply, Told, refusal
+from dunlinsaddle.calls.member_calls import to_candidates
+from dunlinsaddle.calls.messages import Lost, NotSent, RelayedTargetState, Reply, refusal
 from dunlinsaddle.errors import ErrorKind, Failure, Outcome
 from dunlinsaddle.loops import OnLoop
 from dunlinsaddle.membership.view import Member, MemberView
@@ -18,6 +15,7 @@
 from dunlinsaddle.policy.retry import LOST_ANSWER_KINDS, REFUSED_BY_NODE, RetryAllowance, may_resend
 from dunlinsaddle.policy.route import Candidate, Router
 from dunlinsaddle.stats import Stats
+from typing import NamedTuple, Protocol, TYPE_CHECKING
 
 if TYPE_CHECKING:
     from dunlinsaddle.calls.idempotency import IdempotencyRouter
@@ -46,7 +44,7 @@
 
 def _choices(serving: list[Member]) -> _Choices:
     members = {m.instance: m for m in serving}
-    return _Choices(serving, members, candidates_of(members.values()))
+    return _Choices(serving, members, to_candidates(members.values()))
 
 
 class ResendPolicy(Protocol):
@@ -112,7 +110,7 @@
         self._choices: dict[str, _Choices] = {}
         #: By the instance beside the target. It goes back with each call: a node that has started
         #: again knows nothing of a target that goes on, and would take it for one like any other.
-        self._told: dict[str, Told] = {}
+        self._told: dict[str, RelayedTargetState] = {}
 
     async def dispatch(self, call: PendingCall, parent_rule: str = '') -> Reply:
         """Give a call to one target after another until one answer is final.
@@ -141,7 +139,7 @@
     def _refused_early(self, call: PendingCall, failure: Failure) -> Reply:
         self.stats.shed[failure.kind.value] += 1
         early = refusal(failure)
-        early.unspent = call.allowance.tokens
+        early.unspent_retry_tokens = call.allowance.tokens
         return early
 
     async def send(self, call: PendingCall) -> Reply:
@@ -175,7 +173,7 @@
             # A target has answered, if only with a failure: that tells the caller more than
             # why nobody else did.
             last = answered
-        last.unspent = call.allowance.tokens
+        last.unspent_retry_tokens = call.allowance.tokens
         return _truthful(last) if may_have_run else last
 
     def _next(self, call: PendingCall, tried: set[str], given: set[str]) -> Member | None:
@@ -187,7 +185,7 @@
     def _note_resend(self, call: PendingCall, last: Reply, tries: int) -> None:
         self.stats.retries += 1
         if self.decisions is not None:
-            self.decisions.resent(call.ctx, last, tries)
+            self.decisions.log_resent(call.ctx, last, tries)
 
     async def _dispatch_at_most_once(self, router: 'IdempotencyRouter', call: PendingCall) -> Reply:
         """Take the way of calls that must run at most once; it has no early refusal.
@@ -226,7 +224,7 @@
         if self.decisions is not None:
             known = len(self.view.serving(call.ctx.service))
             load = self.router.latest_load(member.instance)
-            self.decisions.sent(call.ctx, member.instance, load, known)
+            self.decisions.log_sent(call.ctx, member.instance, load, known)
         began = loop.time()
         self.router.record_sent(member.instance)
         try:
@@ -255,7 +253,7 @@
             case Reply():
                 self._heard(now, member, exchange)
                 self._learn(now, call, exchange)
-                call.allowance.reclaim(handed, exchange.unspent)
+                call.allowance.reclaim(handed, exchange.unspent_retry_tokens)
                 return exchange
             case NotSent(detail):
                 self.router.record_failure(now, member.instance)
@@ -283,7 +281,7 @@
         if reply.kind in LOST_KINDS:
             self.router.record_failure(now, member.instance)
             return
-        failed = not reply.kind and reply.status >= FIRST_ERROR_STATUS
+        failed = not reply.kind and reply.status >= MIN_SERVER_ERROR_STATUS
         # One that turns calls away has the fewest in flight, and would draw ever more of them.
         turned_away = reply.kind == ErrorKind.TARGET_REFUSED.value
         error = turned_away or (failed and reply.retry_after <= 0)
@@ -292,10 +290,10 @@
             self.router.avoid_leaving(now, member.instance)
 
     def _learn_told(self, now: float, member: Member, reply: Reply) -> None:
-        told = reply.told
+        told = reply.target_state
         if told is not None:
             self._told[member.instance] = told
-            self.router.record_rate(now, member.instance, told.rate, told.use)
+            self.router.record_rate(now, member.instance, told.rate, told.rate_use)
         elif not reply.kind:
             # The target has answered, and says nothing of itself any more.
             self._told.pop(member.instance, None)
@@ -314,7 +312,7 @@
         a quarter of the views, which the other two have room for. What a target with a rate does
         not take goes to those without; theirs is the level of the service.
         """
-        if not _names_rate(reply.told):
+        if not _names_rate(reply.target_state):
             return True
         if reply.load is not None and reply.load.limited_by != service:
             return True
@@ -344,10 +342,10 @@
 
 
 def _whole(reply: Reply) -> bool:
-    return not reply.kind and reply.status < FIRST_ERROR_STATUS
+    return not reply.kind and reply.status < MIN_SERVER_ERROR_STATUS
 
 
-def _names_rate(told: Told | None) -> bool:
+def _names_rate(told: RelayedTargetState | None) -> bool:
     return told is not None and told.rate is not None
 
 
@@ -357,5 +355,5 @@
         return reply
     detail = f'a first try was lost, the last was refused: {reply.kind}'
     told = refusal(Failure(ErrorKind.OUTCOME_UNKNOWN, detail), load=reply.load)
-    told.unspent = reply.unspent
+    told.unspent_retry_tokens = reply.unspent_retry_tokens
     return told
--- a/dunlinsaddle/calls/execute.py
+++ b/dunlinsaddle/calls/execute.py
@@ -1,44 +1,28 @@
 """The node beside a target: admission, the wait in the queue, and the call itself."""
-
 import asyncio
 from collections.abc import Callable
-from functools import partial
-
-from dunlinsaddle.calls.call_state import (
-    PendingCall,
-    RunningCall,
-    RunningCalls,
-    downstream_retry_after,
-)
+from dunlinsaddle.calls.call_state import PendingCall, RunningCall, RunningCalls, downstream_retry_after
 from dunlinsaddle.calls.client import HttpClient
 from dunlinsaddle.calls.connection import Answered
 from dunlinsaddle.calls.decisions import DecisionLog
-from dunlinsaddle.calls.http import FIRST_ERROR_STATUS, HttpRequest, HttpResponse
-from dunlinsaddle.calls.messages import Lost, NotSent, Reply, Told, refusal
-from dunlinsaddle.calls.target import LocalTarget, PlainDialect, Said, TargetDialect
-from dunlinsaddle.calls.waiters import RETRY_AFTER_SECONDS, AdmissionFuture, Waiters
+from dunlinsaddle.calls.http import HttpRequest, HttpResponse, MIN_SERVER_ERROR_STATUS
+from dunlinsaddle.calls.messages import Lost, NotSent, RelayedTargetState, Reply, refusal
+from dunlinsaddle.calls.target import AdvertisedState, DefaultDialect, LocalTarget, TargetDialect
+from dunlinsaddle.calls.waiters import AdmissionFuture, RETRY_AFTER_SECONDS, Waiters
 from dunlinsaddle.errors import ErrorKind, Failure
 from dunlinsaddle.loops import OnLoop
-from dunlinsaddle.policy.admission import (
-    AdmissionDecision,
-    AdmissionPolicy,
-    Load,
-    Refuse,
-    Run,
-    Sample,
-    Ticket,
-    Wait,
-)
+from dunlinsaddle.policy.admission import AdmissionDecision, AdmissionPolicy, Load, Refuse, Run, Sample, Ticket, Wait
 from dunlinsaddle.policy.context import CallContext
-from dunlinsaddle.policy.level import UPDATE_INTERVAL_SECONDS, ChainLevels
+from dunlinsaddle.policy.level import ChainLevels, UPDATE_INTERVAL_SECONDS
 from dunlinsaddle.policy.quarantine import Quarantine, Quarantined, Suspected
 from dunlinsaddle.stats import Hop, Stats
+from functools import partial
 
 TICK_SECONDS = UPDATE_INTERVAL_SECONDS + 0.0001  #: just enough for the tick to be due
 
 
 #: Hears what the target says of itself: with the answer to which request, and when that was sent.
-OnTargetStatus = Callable[[str, float, Said], None]
+OnTargetStatus = Callable[[str, float, AdvertisedState], None]
 
 
 class Executor(OnLoop):
@@ -57,7 +41,7 @@
         levels: ChainLevels | None = None,
         dialect: TargetDialect | None = None,
     ) -> None:
-        self.dialect = dialect or PlainDialect()
+        self.dialect = dialect or DefaultDialect()
         self.target = target
         self.admission = admission
         self.client = client
@@ -71,7 +55,7 @@
         #: Takes what the target says of itself with the answer to a request.
         self.on_target_status: OnTargetStatus = lambda request_id, sent_at, said: None
         #: Gives what other nodes are told of that with each reply.
-        self.target_status: Callable[[], Told | None] = lambda: None
+        self.target_status: Callable[[], RelayedTargetState | None] = lambda: None
         self._waiters = Waiters(admission, self._release)
         self._tickets = 0
         self._shadows: set[int] = set()
@@ -181,7 +165,7 @@
                         evicted, Failure(ErrorKind.OVERLOADED, retry_after=RETRY_AFTER_SECONDS)
                     )
         if self.decisions is not None:
-            self.decisions.queued(ctx, self._load(ctx))
+            self.decisions.log_queued(ctx, self._load(ctx))
         end = self._waiters.add(ticket)
         try:
             refused = await end
@@ -245,9 +229,9 @@
             self._finish(
                 ticket, Sample(ticket.rule, running.processing_seconds(now), completed), now
             )
-        reply.unspent = call.allowance.tokens
+        reply.unspent_retry_tokens = call.allowance.tokens
         reply.load = self._load(call.ctx)._replace(cost=self._cost(running))
-        reply.told = self.target_status()
+        reply.target_state = self.target_status()
         return reply
 
     def _cost(self, running: RunningCall) -> float:
@@ -276,7 +260,7 @@
             # It went while the call waited in the queue.
             return refusal(Failure(ErrorKind.NO_TARGET, 'the target has gone', RETRY_AFTER_SECONDS))
         budget = call.ctx.deadline - running.started
-        headers = self.dialect.headers(call, running, budget)
+        headers = self.dialect.request_headers(call, running, budget)
         req = HttpRequest(call.method, call.path, headers, call.body, '')
         again = partial(self._may_repeat, call) if call.ctx.idempotent else None
         loop = self.loop
@@ -285,8 +269,8 @@
             address,
             req,
             budget,
-            may_repeat=again,
-            belongs=partial(self.dialect.belongs, call),
+            allow_resend=again,
+            matches_request=partial(self.dialect.matches_request, call),
         )
         took = loop.time() - sent_at
         self.stats.took(Hop.TARGET, took)
@@ -295,14 +279,14 @@
         match exchange:
             case Answered(response):
                 self._hear(call, sent_at, response)
-                reply = self.dialect.reply(response)
+                reply = self.dialect.read_reply(response)
                 if not reply.kind:
                     reply.retry_after = downstream_retry_after(reply, running)
-                if reply.status >= FIRST_ERROR_STATUS:
+                if reply.status >= MIN_SERVER_ERROR_STATUS:
                     reply.cause = running.downstream_failure
                 return reply
             case NotSent(detail):
-                self.target.note_refused()
+                self.target.record_connection_refused()
                 return refusal(Failure(ErrorKind.NO_TARGET, detail, RETRY_AFTER_SECONDS))
             case Lost(detail, kind):
                 reply = refusal(Failure(kind, detail))
@@ -313,7 +297,7 @@
                 return reply
 
     def _hear(self, call: PendingCall, sent_at: float, response: HttpResponse) -> None:
-        said = self.dialect.said(response)
+        said = self.dialect.read_advertised_state(response)
         if said is not None:
             self.on_target_status(call.ctx.request_id, sent_at, said)
 
@@ -322,9 +306,9 @@
         address = self.target.address
         if address is None:
             return False
-        lives = await self.client.reaches(address)
+        lives = await self.client.can_connect(address)
         if not lives:
-            self.target.note_refused()
+            self.target.record_connection_refused()
         return lives
 
     def _may_repeat(self, call: PendingCall) -> bool:
@@ -352,8 +336,8 @@
         self.stats.shed[failure.kind.value] += 1
         load = self._load(call.ctx)
         if self.decisions is not None:
-            self.decisions.refused(call.ctx, failure, load)
+            self.decisions.log_refused(call.ctx, failure, load)
         reply = refusal(failure, load=load)
-        reply.told = self.target_status()
-        reply.unspent = call.allowance.tokens
+        reply.target_state = self.target_status()
+        reply.unspent_retry_tokens = call.allowance.tokens
         return reply
--- a/dunlinsaddle/calls/handlers.py
+++ b/dunlinsaddle/calls/handlers.py
@@ -1,40 +1,24 @@
 """The faces for callers and for the local target."""
-
 import asyncio
-from collections.abc import Callable
-from typing import TypedDict
-
 import msgspec
 import uuid6
 import xxhash
-
-from dunlinsaddle.calls.call_state import (
-    PendingCall,
-    RunningCall,
-    RunningCalls,
-    WaitTime,
-    record_added_latency,
-)
+from collections.abc import Callable
+from dunlinsaddle.calls.call_state import PendingCall, RunningCall, RunningCalls, WaitTime, record_added_latency
 from dunlinsaddle.calls.dispatch import Dispatcher
-from dunlinsaddle.calls.http import (
-    HttpRequest,
-    HttpResponse,
-    failure_response,
-    forwarded_headers,
-    json_response,
-    response_of,
-)
+from dunlinsaddle.calls.http import HttpRequest, HttpResponse, failure_response, forwarded_headers, json_response, response_from_reply
 from dunlinsaddle.calls.messages import Reply, refusal
 from dunlinsaddle.calls.target import LocalTarget
 from dunlinsaddle.errors import ErrorKind, Failure, Outcome
 from dunlinsaddle.policy.classify import classify
-from dunlinsaddle.policy.context import MAX_HOPS, CallContext, inherit_priority, priority_of
+from dunlinsaddle.policy.context import CallContext, MAX_HOPS, inherit_priority, priority_of
 from dunlinsaddle.policy.resend_guard import ResendGuard
 from dunlinsaddle.policy.retry import RetryAllowance
 from dunlinsaddle.records.book import RecordBook
 from dunlinsaddle.records.models import Mode, RequestRule, ServiceRecord
 from dunlinsaddle.settings import read_address
 from dunlinsaddle.stats import CallLabel, Stats
+from typing import TypedDict
 
 MAX_ID_LENGTH = 128  #: characters; ids in use have 16 to 36
 KEYS_PATH = '/-/keys/'
@@ -182,7 +166,7 @@
         return PendingCall(ctx, req.method, rest, headers, req.body, allowance, WaitTime())
 
     def _response(self, reply: Reply, call: PendingCall) -> HttpResponse:
-        response = response_of(reply)
+        response = response_from_reply(reply)
         response.headers.append((b'request-id', call.ctx.request_id.encode('latin-1')))
         return response
 
@@ -248,7 +232,7 @@
         if call.ctx.hop > MAX_HOPS:
             return failure_response(Failure(ErrorKind.TOO_DEEP))
         if parent is None:
-            return response_of(await self.dispatcher.dispatch(call))
+            return response_from_reply(await self.dispatcher.dispatch(call))
         return await self._call_for(parent, call)
 
     async def _call_for(self, parent: RunningCall, call: PendingCall) -> HttpResponse:
@@ -263,7 +247,7 @@
                 parent.downstream_retry_after = max(
                     parent.downstream_retry_after, reply.retry_after
                 )
-            return response_of(reply)
+            return response_from_reply(reply)
         finally:
             parent.children.discard(task)
             parent.end_downstream_wait(loop.time())
--- a/dunlinsaddle/calls/handover.py
+++ b/dunlinsaddle/calls/handover.py
@@ -3,21 +3,18 @@
 A caller that resends after a graceful restart gets the stored answer, in place of "unknown" for
 ever. The next owner only remembers: it never runs a key of an interval that is not its own.
 """
-
 import asyncio
 import logging
-from typing import NamedTuple
-
-from result import Ok
-
 from dunlinsaddle.calls.link import PeerLinks
-from dunlinsaddle.calls.messages import EndedKey, KeysPush, Reply
+from dunlinsaddle.calls.messages import FinishedKey, KeysPush, Reply
 from dunlinsaddle.membership.view import Member, MemberView
 from dunlinsaddle.once.keeper import RangeKeeper
 from dunlinsaddle.pieces import cut_pieces
 from dunlinsaddle.policy.key_table import KeyRecord, KeyTable
 from dunlinsaddle.policy.keys import TimestampedKey, parse_key
 from dunlinsaddle.policy.ownership import Owner
+from result import Ok
+from typing import NamedTuple
 
 MAX_MESSAGE_BYTES = 1 << 18  #: of one message: a quarter of a second on a link of ten megabits
 KEY_OVERHEAD_BYTES = 256  #: more than a key takes without its answer
@@ -94,7 +91,7 @@
         match parse_key(given.key):
             case Ok(TimestampedKey(text, birth)):
                 size = given.reply.size if given.reply else 0
-                done = given.done
+                done = given.completed
                 table.import_record(
                     KeyRecord(text, birth, given.fingerprint, done, given.reply, size)
                 )
@@ -119,9 +116,9 @@
     for piece in cut_pieces(
         known, lambda entry: KEY_OVERHEAD_BYTES + entry.size, MAX_MESSAGE_BYTES
     ):
-        keys = [EndedKey(k.key, k.fingerprint, k.done, k.answer) for k in piece]
+        keys = [FinishedKey(k.key, k.fingerprint, k.done, k.answer) for k in piece]
         push = KeysPush(0, service, keys)
-        if member is None or not await links.give_keys(member.peers, push, MESSAGE_TIMEOUT_SECONDS):
+        if member is None or not await links.push_keys(member.peers, push, MESSAGE_TIMEOUT_SECONDS):
             break
         taken += len(piece)
     return taken
--- a/dunlinsaddle/calls/http.py
+++ b/dunlinsaddle/calls/http.py
@@ -22,8 +22,8 @@
         b'expect',
     }
 )
-FIRST_ERROR_STATUS = 500
-OWN_PREFIX = b'dunlinsaddle-'
+MIN_SERVER_ERROR_STATUS = 500
+RESERVED_HEADER_PREFIX = b'dunlinsaddle-'
 
 
 class HttpRequest(NamedTuple):
@@ -61,7 +61,9 @@
     for name, value in headers:
         if name == b'connection':
             dropped = dropped | {part.strip() for part in value.lower().split(b',')}
-    return [(n, v) for n, v in headers if n not in dropped and not n.startswith(OWN_PREFIX)]
+    return [
+        (n, v) for n, v in headers if n not in dropped and not n.startswith(RESERVED_HEADER_PREFIX)
+    ]
 
 
 def json_response(value: object, status: int = 200) -> HttpResponse:
@@ -70,7 +72,7 @@
     return HttpResponse(status, [(b'content-type', b'application/json')], body)
 
 
-def response_of(reply: Reply) -> HttpResponse:
+def response_from_reply(reply: Reply) -> HttpResponse:
     """Give the response that carries a reply to a caller."""
     headers = [*reply.headers, (b'dunlinsaddle-outcome', reply.outcome.value.encode())]
     if reply.retry_after > 0:
@@ -80,14 +82,14 @@
 
 def failure_response(failure: Failure) -> HttpResponse:
     """Give the response that answers a failure."""
-    return response_of(refusal(failure))
+    return response_from_reply(refusal(failure))
 
 
 class HttpLimits(NamedTuple):
     """Bounds of one face. Sizes in bytes, times in seconds."""
 
-    header_bytes: int = 16_384
-    body_bytes: int = 1 << 20
-    connections: int = 4096
+    max_header_bytes: int = 16_384
+    max_body_bytes: int = 1 << 20
+    max_connections: int = 4096
     header_timeout: float = 10.0
     idle_timeout: float = 75.0
--- a/dunlinsaddle/calls/wire.py
+++ b/dunlinsaddle/calls/http_codec.py
@@ -11,20 +11,20 @@
 
 from dunlinsaddle.calls.messages import Headers
 
-FRAMING = frozenset({b'content-length', b'transfer-encoding'})
-BODILESS = frozenset({204, 304})
-FIRST_FINAL_STATUS = 200
+FRAMING_HEADERS = frozenset({b'content-length', b'transfer-encoding'})
+BODILESS_STATUSES = frozenset({204, 304})
+MIN_FINAL_STATUS = 200
 
 
-class Malformed(Exception):
+class MalformedMessage(Exception):
     """The bytes are no HTTP, or not such as is taken here."""
 
 
-class TooLarge(Malformed):
+class HeadTooLarge(MalformedMessage):
     """A head is larger than allowed."""
 
 
-class BodyTooLarge(Malformed):
+class BodyTooLarge(MalformedMessage):
     """A body is larger than allowed."""
 
 
@@ -50,9 +50,9 @@
 class _Reader:
     """Collects the parts of one message; the parser calls its methods."""
 
-    def __init__(self, header_bytes: int, body_bytes: int) -> None:
-        self.header_bytes = header_bytes
-        self.body_bytes = body_bytes
+    def __init__(self, max_header_bytes: int, max_body_bytes: int) -> None:
+        self.max_header_bytes = max_header_bytes
+        self.max_body_bytes = max_body_bytes
         self.headers: Headers = []
         self.chunks: list[bytes] = []
         self.size = 0
@@ -72,13 +72,13 @@
             # A trailer: nothing here needs it, and it must not pass for a header.
             return
         self.head_size += len(name) + len(value) + 4
-        if self.head_size > self.header_bytes:
-            self.stop(TooLarge('the head is too large'))
+        if self.head_size > self.max_header_bytes:
+            self.stop(HeadTooLarge('the head is too large'))
         self.headers.append((name.lower(), value.strip()))
 
     def on_body(self, body: bytes) -> None:
         self.size += len(body)
-        if self.size > self.body_bytes:
+        if self.size > self.max_body_bytes:
             self.stop(BodyTooLarge('the body is too large'))
         self.chunks.append(body)
 
@@ -102,12 +102,12 @@
 class RequestReader(_Reader):
     """Reads requests, several in one piece of bytes if they come so."""
 
-    def __init__(self, header_bytes: int, body_bytes: int) -> None:
-        super().__init__(header_bytes, body_bytes)
+    def __init__(self, max_header_bytes: int, max_body_bytes: int) -> None:
+        super().__init__(max_header_bytes, max_body_bytes)
         self.parser = httptools.HttpRequestParser(self)
         self.read: list[RequestMessage] = []
         self.target = b''
-        self.continues = False  #: the sender waits for "100 Continue" before its body
+        self.expects_continue = False  #: the sender waits for "100 Continue" before its body
         self.fed = 0  #: bytes since the present head began
         self.upgraded = False
 
@@ -125,17 +125,17 @@
         except httptools.HttpParserUpgrade:
             # What follows would be another protocol; none is spoken here.
             self.upgraded = True
-        except (httptools.HttpParserError, Malformed) as exc:
-            raise self.over or Malformed(str(exc)) from exc
-        if self.in_head and self.fed > self.header_bytes + len(data):
-            raise TooLarge('the head is too large')
+        except (httptools.HttpParserError, MalformedMessage) as exc:
+            raise self.over or MalformedMessage(str(exc)) from exc
+        if self.in_head and self.fed > self.max_header_bytes + len(data):
+            raise HeadTooLarge('the head is too large')
         return self.read
 
     def on_message_begin(self) -> None:
         """Begin a request."""
         super().on_message_begin()
         self.target = b''
-        self.continues = False
+        self.expects_continue = False
 
     def on_url(self, url: bytes) -> None:
         """Take a part of the request's target."""
@@ -147,29 +147,31 @@
         self.in_head = False
         framing = hosts = 0
         for name, value in self.headers:
-            if name in FRAMING:
+            if name in FRAMING_HEADERS:
                 framing += 1
                 if name == b'transfer-encoding' and value.lower() != b'chunked':
-                    self.stop(Malformed('a transfer coding other than chunked'))
+                    self.stop(MalformedMessage('a transfer coding other than chunked'))
             elif name == b'host':
                 hosts += 1
             elif name == b'expect':
-                self.continues = value.lower() == b'100-continue'
+                self.expects_continue = value.lower() == b'100-continue'
         if framing > 1:
             # Two parties that pick different ones would cut the stream at different places,
             # and a caller could slip a request in as part of a body (RFC 9112, 6.1).
-            self.stop(Malformed('Content-Length and Transfer-Encoding, or one of them twice'))
+            self.stop(
+                MalformedMessage('Content-Length and Transfer-Encoding, or one of them twice')
+            )
         if hosts != 1 and (hosts or self.parser.get_http_version() == '1.1'):
-            self.stop(Malformed('one Host header is needed'))
+            self.stop(MalformedMessage('one Host header is needed'))
         if self.parser.get_http_version() not in ('1.0', '1.1'):
-            self.stop(Malformed('not HTTP/1.1'))
-        if self.length() > self.body_bytes:
+            self.stop(MalformedMessage('not HTTP/1.1'))
+        if self.length() > self.max_body_bytes:
             self.stop(BodyTooLarge('the body is too large'))
 
     def on_message_complete(self) -> None:
         """Give the request out."""
         self.fed = 0
-        self.continues = False
+        self.expects_continue = False
         keep_alive = self.parser.should_keep_alive() and not self.parser.should_upgrade()
         method = self.parser.get_method()
         self.read.append(RequestMessage(method, self.target, self.headers, self.body(), keep_alive))
@@ -178,8 +180,8 @@
 class ResponseReader(_Reader):
     """Reads responses of one connection, of which each should be one to the last request."""
 
-    def __init__(self, header_bytes: int, body_bytes: int) -> None:
-        super().__init__(header_bytes, body_bytes)
+    def __init__(self, max_header_bytes: int, max_body_bytes: int) -> None:
+        super().__init__(max_header_bytes, max_body_bytes)
         self.parser = httptools.HttpResponseParser(self)
         self.read: list[ResponseMessage] = []
         self.bodiless = False  #: the request was a HEAD
@@ -191,10 +193,10 @@
         self.read = []
         try:
             self.parser.feed_data(data)
-        except (httptools.HttpParserError, httptools.HttpParserUpgrade, Malformed) as exc:
+        except (httptools.HttpParserError, httptools.HttpParserUpgrade, MalformedMessage) as exc:
             self.broken = True
             if not self.read:
-                raise self.over or Malformed(str(exc)) from exc
+                raise self.over or MalformedMessage(str(exc)) from exc
         return self.read
 
     def end(self) -> ResponseMessage | None:
@@ -209,9 +211,9 @@
         """Whether a body has begun whose head does not tell where it ends."""
         if not self.begun or self.in_head or self.bodiless:
             return False
-        if self.parser.get_status_code() in BODILESS:
+        if self.parser.get_status_code() in BODILESS_STATUSES:
             return False
-        return not any(name in FRAMING for name, _ in self.headers)
+        return not any(name in FRAMING_HEADERS for name, _ in self.headers)
 
     def on_message_begin(self) -> None:
         """Begin a response."""
@@ -221,11 +223,13 @@
     def on_headers_complete(self) -> None:
         """Judge the head before any of the body is taken."""
         self.in_head = False
-        if sum(1 for name, _ in self.headers if name in FRAMING) > 1:
-            self.stop(Malformed('Content-Length and Transfer-Encoding, or one of them twice'))
-        if self.length() > self.body_bytes and not self.bodiless:
+        if sum(1 for name, _ in self.headers if name in FRAMING_HEADERS) > 1:
+            self.stop(
+                MalformedMessage('Content-Length and Transfer-Encoding, or one of them twice')
+            )
+        if self.length() > self.max_body_bytes and not self.bodiless:
             self.stop(BodyTooLarge('the body is too large'))
-        if self.bodiless and self.parser.get_status_code() >= FIRST_FINAL_STATUS:
+        if self.bodiless and self.parser.get_status_code() >= MIN_FINAL_STATUS:
             # The parser would wait for the body that the length tells of.
             self.broken = True
             self._give(keep_alive=False)
@@ -233,7 +237,7 @@
     def on_message_complete(self) -> None:
         """Give the response out; interim ones are passed over."""
         status = self.parser.get_status_code()
-        if status >= FIRST_FINAL_STATUS and self.begun:
+        if status >= MIN_FINAL_STATUS and self.begun:
             self._give(keep_alive=self.parser.should_keep_alive())
         self.begun = False
 
@@ -253,7 +257,7 @@
 
 def encode_response(status: int, headers: Headers, body: bytes) -> bytes:
     """Write a response; the headers frame it. Raises ValueError for what is no HTTP."""
-    if not FIRST_FINAL_STATUS <= status <= 599:
+    if not MIN_FINAL_STATUS <= status <= 599:
         raise ValueError(f'no final HTTP status: {status}')
     return _encode(b'HTTP/1.1 %d ' % status, headers, body)
 
--- a/dunlinsaddle/calls/idempotency.py
+++ b/dunlinsaddle/calls/idempotency.py
@@ -1,17 +1,11 @@
 """Gives each call that is not idempotent to the one node that may run its key."""
-
 import asyncio
 from collections.abc import Callable
-from random import Random
-from typing import Any, NamedTuple
-
-from result import Err
-
 from dunlinsaddle.calls.call_state import PendingCall, read_call_frame
 from dunlinsaddle.calls.execute import Executor
 from dunlinsaddle.calls.handover import find_next_owner, has_owner_ended
 from dunlinsaddle.calls.link import PeerLinks
-from dunlinsaddle.calls.member_calls import MemberCalls, candidates_of
+from dunlinsaddle.calls.member_calls import MemberCaller, to_candidates
 from dunlinsaddle.calls.messages import Call, Lost, NotSent, Reply, refusal
 from dunlinsaddle.calls.owned_keys import OwnedKeys
 from dunlinsaddle.errors import ErrorKind, Failure
@@ -19,18 +13,13 @@
 from dunlinsaddle.once.keeper import RangeKeeper
 from dunlinsaddle.once.opaque import claim_key
 from dunlinsaddle.policy.key_table import KeyTable
-from dunlinsaddle.policy.keys import (
-    RANGE_COUNT,
-    Key,
-    OpaqueKey,
-    TimestampedKey,
-    generate_key,
-    parse_key,
-    range_number,
-)
+from dunlinsaddle.policy.keys import Key, OpaqueKey, RANGE_COUNT, TimestampedKey, generate_key, parse_key, range_number
 from dunlinsaddle.policy.ownership import Interval, Owner, RangeMap
 from dunlinsaddle.policy.route import Router
 from dunlinsaddle.stats import Stats
+from random import Random
+from result import Err
+from typing import Any, NamedTuple
 
 MAX_OWNER_HOPS = 2  #: an entry asks one node, and that one may know a newer owner
 UNREACHABLE_KINDS = frozenset(
@@ -75,7 +64,7 @@
         self.view = view
         self.router = router
         self.rng = rng
-        self.member_calls = MemberCalls(router, links)
+        self.member_calls = MemberCaller(router, links)
         self.owned_keys = OwnedKeys(
             keeper.me, keeper.clock, view, self.member_calls, executor, stats, window
         )
@@ -98,11 +87,11 @@
     async def handle_peer_call(self, frame: Call) -> Reply:
         """Answer another node that takes this one for the owner of the call's key."""
         call = read_call_frame(frame, asyncio.get_running_loop().time())
-        parsed = parse_key(frame.key)
+        parsed = parse_key(frame.idempotency_key)
         if isinstance(parsed, Err):
             return refusal(Failure(ErrorKind.KEY_MALFORMED, parsed.err_value))
-        reply = await self._route(call, parsed.ok_value, KeyRoute(frame.asked))
-        reply.unspent = call.allowance.tokens
+        reply = await self._route(call, parsed.ok_value, KeyRoute(frame.owner_lookups))
+        reply.unspent_retry_tokens = call.allowance.tokens
         return reply
 
     async def mint_key(self, service: str) -> TimestampedKey:
@@ -158,7 +147,7 @@
             if interval is not None:
                 ranges.setdefault(interval.owner.instance, []).append(number)
         members = [m for m in self.view.serving(service) if m.instance in ranges]
-        candidates = candidates_of(members)
+        candidates = to_candidates(members)
         now_loop = asyncio.get_running_loop().time()
         chosen = self.router.choose(now_loop, candidates, frozenset(tried))
         return generate_key(now, self.rng, service, ranges[chosen.instance] if chosen else ())
@@ -276,7 +265,7 @@
         return await self._send(call, member, way)
 
     async def _send(self, call: PendingCall, member: Member, way: KeyRoute) -> Reply:
-        match await self.member_calls.call(call, member, asked=way.asked + 1):
+        match await self.member_calls.call(call, member, owner_lookups=way.asked + 1):
             case Reply() as reply:
                 return reply
             case NotSent(detail) if way.fresh:
--- a/dunlinsaddle/calls/keepalive.py
+++ b/dunlinsaddle/calls/keepalive.py
@@ -5,7 +5,7 @@
 
 IDLE_SECONDS = 1  #: seconds without a packet before the first probe of a request that is out
 #: The same for a link that may be idle: probes of thousands would cost more than calls.
-LINK_IDLE_SECONDS = 60
+LINK_KEEPALIVE_IDLE_SECONDS = 60
 INTERVAL_SECONDS = 1  #: seconds between two probes
 PROBES = 2  #: unanswered ones that end a connection: 3 s in all with the two above
 UNACKED_MILLISECONDS = 3000  #: the same 3 s for bytes that were written and not acknowledged
@@ -18,7 +18,7 @@
 )
 
 
-def watch_connection(transport: asyncio.BaseTransport, idle: int = IDLE_SECONDS) -> None:
+def enable_keepalive(transport: asyncio.BaseTransport, idle: int = IDLE_SECONDS) -> None:
     """Have the kernel probe a connection, and end it about 3 s after the far end is lost.
 
     Without it a connection that a middle box has forgotten waits for its whole deadline: a
--- a/dunlinsaddle/calls/link.py
+++ b/dunlinsaddle/calls/link.py
@@ -7,30 +7,30 @@
 from typing import Any
 
 from dunlinsaddle.calls.frames import (
-    HANDSHAKE_TIMEOUT,
+    HANDSHAKE_TIMEOUT_SECONDS,
     FrameProtocol,
     LinkLimits,
     Role,
-    proves,
-    sign,
+    is_valid_proof,
+    make_proof,
 )
 from dunlinsaddle.calls.messages import (
     Call,
     Cancel,
     Challenge,
-    Deaths,
     Frame,
     Hello,
+    KeysAck,
     KeysPush,
-    KeysTaken,
     Lost,
     NotSent,
     Ping,
     Pong,
-    RecordsAnswer,
-    RecordsAsk,
     RecordsPush,
+    RecordsRequest,
+    RecordsResponse,
     Reply,
+    TargetDeaths,
     Welcome,
 )
 from dunlinsaddle.errors import ErrorKind
@@ -73,11 +73,11 @@
         match frame:
             case Challenge() if not self.greeted:
                 self.greeted = True
-                proof = sign(self.key, Role.DIALLING, frame.nonce, self.instance)
+                proof = make_proof(self.key, Role.DIALLING, frame.nonce, self.instance)
                 self.send(Hello(self.instance, proof, self.nonce))
             case Welcome() if self.greeted and not self.ready.done():
                 self._check(frame)
-            case Reply() | RecordsAnswer() | KeysTaken() if self.ready.done():
+            case Reply() | RecordsResponse() | KeysAck() if self.ready.done():
                 # A reply whose call is over is late: it belongs to nobody.
                 fut = self.waiting.pop(frame.id, None)
                 if fut is not None and not fut.done():
@@ -88,7 +88,7 @@
                 self.transport.abort()
 
     def _check(self, welcome: Welcome) -> None:
-        if not proves(self.key, Role.LISTENING, self.nonce, '', welcome.proof):
+        if not is_valid_proof(self.key, Role.LISTENING, self.nonce, '', welcome.proof):
             self.transport.abort()
             return
         self.trust()
@@ -101,7 +101,7 @@
 
     @property
     def fresh(self) -> bool:
-        return self.open and self.loop.time() - self.heard_at <= REUSE_SECONDS
+        return self.open and self.loop.time() - self.last_received_at <= REUSE_SECONDS
 
     async def prove(self) -> bool:
         """Ask the peer for a sign of life; False when none comes soon."""
@@ -121,7 +121,7 @@
         if not self.waiting:
             self.transport.abort()
 
-    def call(self, call: Call | RecordsAsk | KeysPush) -> 'asyncio.Future[Any]':
+    def call(self, call: Call | RecordsRequest | KeysPush) -> 'asyncio.Future[Any]':
         self.numbers += 1
         call.id = self.numbers
         fut: asyncio.Future[Any] = self.loop.create_future()
@@ -129,7 +129,7 @@
         self.send(call)
         if self.timer is None:
             self.busy_since = self.loop.time()
-            self.timer = self.loop.call_later(self.limits.probe_every, self._probe)
+            self.timer = self.loop.call_later(self.limits.probe_interval, self._probe)
         return fut
 
     def expire(self, number: int) -> None:
@@ -152,7 +152,7 @@
             self.transport.abort()
         elif self.waiting:
             self.send(Ping(0))
-            self.timer = self.loop.call_later(self.limits.probe_every, self._probe)
+            self.timer = self.loop.call_later(self.limits.probe_interval, self._probe)
         elif self.retired:
             self.transport.abort()
 
@@ -170,7 +170,7 @@
     async def call(self, address: Address, call: Call) -> Reply | NotSent | Lost:
         """Send a call and wait for its reply within the call's budget."""
         loop = self.loop
-        deadline = loop.time() + call.budget
+        deadline = loop.time() + call.timeout
         try:
             link = self._links.get(address)
             if link is None or not link.fresh:
@@ -178,10 +178,10 @@
                     link = await self._link(address)
         except (OSError, TimeoutError) as exc:
             return NotSent(f'{address}: {exc or "no link in time"}')
-        call.budget = deadline - loop.time()
-        if call.budget <= 0:
+        call.timeout = deadline - loop.time()
+        if call.timeout <= 0:
             return NotSent('the deadline passed before it was sent')
-        if link.full or len(link.waiting) >= self.limits.calls:
+        if link.full or len(link.waiting) >= self.limits.max_calls:
             return NotSent(f'{address}: the peer takes no more calls')
         fut = link.call(call)
         number = call.id
@@ -195,18 +195,18 @@
         finally:
             timer.cancel()
 
-    async def ask_records(
-        self, address: Address, ask: RecordsAsk, timeout: float
-    ) -> RecordsAnswer | None:
+    async def fetch_records(
+        self, address: Address, ask: RecordsRequest, timeout: float
+    ) -> RecordsResponse | None:
         """Ask a peer for records; None when no answer comes within ``timeout`` seconds."""
         answer = await self._ask(address, ask, timeout)
-        return answer if isinstance(answer, RecordsAnswer) else None
+        return answer if isinstance(answer, RecordsResponse) else None
 
-    async def give_keys(self, address: Address, push: KeysPush, timeout: float) -> bool:
+    async def push_keys(self, address: Address, push: KeysPush, timeout: float) -> bool:
         """Give a peer keys; say whether it took them within ``timeout`` seconds."""
-        return isinstance(await self._ask(address, push, timeout), KeysTaken)
+        return isinstance(await self._ask(address, push, timeout), KeysAck)
 
-    async def tell(self, address: Address, frame: RecordsPush | Deaths) -> bool:
+    async def notify(self, address: Address, frame: RecordsPush | TargetDeaths) -> bool:
         """Send a peer what wants no answer; say whether there is a link to it."""
         try:
             (await self._link(address)).send(frame)
@@ -222,7 +222,7 @@
             link.transport.abort()
         self._links.clear()
 
-    async def _ask(self, address: Address, ask: RecordsAsk | KeysPush, timeout: float) -> Any:
+    async def _ask(self, address: Address, ask: RecordsRequest | KeysPush, timeout: float) -> Any:
         try:
             async with asyncio.timeout(timeout):
                 link = await self._link(address)
@@ -257,7 +257,7 @@
         loop = self.loop
         link: _Dialling | None = None
         try:
-            async with asyncio.timeout(HANDSHAKE_TIMEOUT):
+            async with asyncio.timeout(HANDSHAKE_TIMEOUT_SECONDS):
                 _, link = await loop.create_connection(
                     lambda: _Dialling(self.key, self.instance, self.limits),
                     address.host,
--- a/dunlinsaddle/calls/listener.py
+++ b/dunlinsaddle/calls/listener.py
@@ -1,18 +1,13 @@
 """A listener that gives whole HTTP/1.1 requests to a handler, and answers them in order."""
-
 import asyncio
 import os
 import socket
 from collections.abc import Callable
-
 from dunlinsaddle.calls.accepted_connection import AcceptedConnection, Handler
-from dunlinsaddle.calls.http import (
-    HttpLimits,
-    HttpRequest,
-)
+from dunlinsaddle.calls.http import HttpLimits, HttpRequest
 from dunlinsaddle.settings import Address
 
-ACCEPTED_AT_ONCE = 16  #: connections taken between two other events
+MAX_ACCEPTS_PER_EVENT = 16  #: connections taken between two other events
 BACKLOG = 1024  #: connections that wait in the kernel
 
 
@@ -24,7 +19,7 @@
         sock.listen(BACKLOG)
 
 
-class HttpFace:
+class HttpListener:
     """A listener that hands whole requests to ``handler``.
 
     Up to ``pipeline`` requests of one connection run at the same time; answers go out in the
@@ -52,7 +47,10 @@
         """Start to listen; gives the address in use. Raises OSError when it is taken."""
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(
-            lambda: AcceptedConnection(self), address.host, address.port, backlog=ACCEPTED_AT_ONCE
+            lambda: AcceptedConnection(self),
+            address.host,
+            address.port,
+            backlog=MAX_ACCEPTS_PER_EVENT,
         )
         # The loop takes up to its backlog of connections in one go, and nothing else meanwhile.
         # With a long one a flood of new connections kept it from the gossip for so long that
--- a/dunlinsaddle/calls/member_calls.py
+++ b/dunlinsaddle/calls/member_calls.py
@@ -1,8 +1,6 @@
-"""Calls that a node hands to another node, without a choice of its own."""
-
+"""Calls to a given member, with the outcome reported to the router."""
 import asyncio
 from collections.abc import Iterable
-
 from dunlinsaddle.calls.call_state import PendingCall, build_call_frame
 from dunlinsaddle.calls.link import PeerLinks
 from dunlinsaddle.calls.messages import Lost, NotSent, Reply
@@ -10,26 +8,26 @@
 from dunlinsaddle.policy.route import Candidate, Router
 
 
-def candidates_of(members: Iterable[Member]) -> list[Candidate]:
-    """Give the members as the router wants them."""
+def to_candidates(members: Iterable[Member]) -> list[Candidate]:
+    """Return the members as candidates for the router."""
     return [Candidate(m.instance, m.domain, m.state is State.SUSPECT) for m in members]
 
 
-class MemberCalls:
-    """Hands a call to one member, and lets the router learn from how it ended."""
+class MemberCaller:
+    """Sends a call to one member and reports the outcome to the router."""
 
     def __init__(self, router: Router, links: PeerLinks) -> None:
         self.router = router
         self.links = links
 
     async def call(
-        self, work: PendingCall, member: Member, *, asked: int = 0, owned: bool = False
+        self, work: PendingCall, member: Member, *, owner_lookups: int = 0, owner_approved: bool = False
     ) -> Reply | NotSent | Lost:
-        """Hand it over; ``asked`` and ``owned`` say what the member is taken for."""
+        """Send a call; for the two options see the fields of ``Call``."""
         loop = asyncio.get_running_loop()
         handed = work.allowance.delegate()
         call = build_call_frame(work, loop.time(), handed)
-        call.asked, call.owned = asked, owned
+        call.owner_lookups, call.owner_approved = owner_lookups, owner_approved
         self.router.record_sent(member.instance)
         try:
             reply = await self.links.call(member.peers, call)
@@ -39,8 +37,8 @@
         match reply:
             case Reply():
                 self.router.record_answer(loop.time(), member.instance, reply.load)
-                work.allowance.reclaim(handed, reply.unspent)
-                reply.unspent = work.allowance.tokens
+                work.allowance.reclaim(handed, reply.unspent_retry_tokens)
+                reply.unspent_retry_tokens = work.allowance.tokens
             case NotSent():
                 self.router.record_failure(loop.time(), member.instance)
                 work.allowance.reclaim(handed, handed)
--- a/dunlinsaddle/calls/messages.py
+++ b/dunlinsaddle/calls/messages.py
@@ -12,7 +12,7 @@
 from dunlinsaddle.records.models import Rank, RecordEntry
 from dunlinsaddle.records.schema import MAX_RETRY_BOUND
 
-MAX_BUDGET = 86_400.0  #: seconds; a day is a bound against absurd numbers only
+MAX_TIMEOUT_SECONDS = 86_400.0  #: seconds; a day is a bound against absurd numbers only
 MAX_RATE = 1e9  #: calls a second; a bound against absurd numbers only
 
 Headers = list[tuple[bytes, bytes]]
@@ -21,9 +21,9 @@
 # out retries without bound, or a deadline that never comes.
 RankNumber = Annotated[int, Meta(ge=0, lt=len(Rank))]
 SlotNumber = Annotated[int, Meta(ge=0, lt=SLOTS_PER_RANK)]
-Seconds = Annotated[float, Meta(ge=0, le=MAX_BUDGET)]
-Tokens = Annotated[int, Meta(ge=0, le=MAX_RETRY_BOUND)]
-Hops = Annotated[int, Meta(ge=0, le=MAX_HOPS)]
+Seconds = Annotated[float, Meta(ge=0, le=MAX_TIMEOUT_SECONDS)]
+RetryTokens = Annotated[int, Meta(ge=0, le=MAX_RETRY_BOUND)]
+HopCount = Annotated[int, Meta(ge=0, le=MAX_HOPS)]
 Rate = Annotated[float, Meta(gt=0, le=MAX_RATE)]
 #: Above 1 where the rate is under one call a second.
 RateUse = Annotated[float, Meta(ge=0, le=MAX_RATE)]
@@ -50,17 +50,17 @@
     proof: bytes
 
 
-class Told(msgspec.Struct, array_like=True, frozen=True):
+class RelayedTargetState(msgspec.Struct, array_like=True, frozen=True):
     """What a target has said of itself with its answers, as the node beside it tells others."""
 
     incarnation: str  #: the start of the target that has said it
     rate: Rate | None = None  #: requests a second that it takes from all nodes, None for any number
-    use: RateUse = 0.0  #: of the rate, over the last second
+    rate_use: RateUse = 0.0  #: of the rate, over the last second
     leaving: bool = False
 
 
 class Call(msgspec.Struct, tag='c', array_like=True):
-    """One call handed to the node beside a target. ``budget`` is the time left in seconds.
+    """One call handed to the node beside a target. ``timeout`` is the time left in seconds.
 
     The time left crosses the wire, not a moment: no two nodes need clocks that agree.
     """
@@ -76,19 +76,21 @@
     rule: str
     rank: RankNumber
     slot: SlotNumber
-    budget: Seconds
-    allowance: Tokens
-    hop: Hops
+    timeout: Seconds
+    retry_tokens: RetryTokens
+    hop: HopCount
     idempotent: bool
-    key: str = ''
+    idempotency_key: str = ''
     fingerprint: int = 0
     deaths: int = 0
-    asked: Hops = 0  #: nodes that were asked before for who owns the key
-    owned: bool = False  #: the key's owner has decided that the call may run
-    useful: Seconds = MAX_BUDGET  #: seconds after which an answer is worth less
-    repeated: bool = False  #: it, or the request that it is made for, was sent before
+    owner_lookups: HopCount = 0  #: nodes that were asked before for who owns the key
+    owner_approved: bool = False  #: the key's owner has decided that the call may run
+    useful_seconds: Seconds = MAX_TIMEOUT_SECONDS  #: seconds after which an answer is worth less
+    resent: bool = False  #: it, or the request that it is made for, was sent before
     organisation: str = ''  #: whose request it is, empty where callers need no key
-    told: Told | None = None  #: what the receiver has told of its target, in case it forgot
+    target_state: RelayedTargetState | None = (
+        None  #: what the receiver has told of its target, in case it forgot
+    )
 
 
 class Reply(msgspec.Struct, tag='r', array_like=True):
@@ -101,11 +103,13 @@
     outcome: Outcome
     kind: str = ''  #: the value of an ErrorKind, empty when the target itself answered
     retry_after: Seconds = 0.0
-    unspent: Tokens = 0
+    unspent_retry_tokens: RetryTokens = 0
     load: Load | None = None
     deaths: int = 0
     cause: str = ''  #: the call that it failed for: its service, and how it ended
-    told: Told | None = None  #: None where the target has said nothing of itself
+    target_state: RelayedTargetState | None = (
+        None  #: None where the target has said nothing of itself
+    )
 
     @property
     def size(self) -> int:
@@ -161,14 +165,14 @@
     )
 
 
-class RecordsAsk(msgspec.Struct, tag='ra', array_like=True):
+class RecordsRequest(msgspec.Struct, tag='ra', array_like=True):
     """Asks for records newer than ``since``, up to which the asker knows all changes."""
 
     id: int
     since: int
 
 
-class RecordsAnswer(msgspec.Struct, tag='rr', array_like=True):
+class RecordsResponse(msgspec.Struct, tag='rr', array_like=True):
     """All changes after what was asked for and up to ``upto``; more may follow after that.
 
     ``age`` in seconds since the answering side last knew itself up to date.
@@ -176,8 +180,8 @@
 
     id: int
     upto: int
-    age: float
-    more: bool
+    age_seconds: float
+    has_more: bool
     entries: list[RecordEntry]
 
 
@@ -190,23 +194,23 @@
     since: int
     upto: int
     domain: str
-    root: str
+    tree_root: str
     entries: list[RecordEntry]
 
 
-class Deaths(msgspec.Struct, tag='d', array_like=True):
+class TargetDeaths(msgspec.Struct, tag='d', array_like=True):
     """Targets died while they ran the request with this fingerprint, so many of them."""
 
     fingerprint: int
     deaths: int
 
 
-class EndedKey(msgspec.Struct, array_like=True):
+class FinishedKey(msgspec.Struct, array_like=True):
     """A key that the sender owned: ``done`` unless nobody can tell, ``reply`` while it is held."""
 
     key: str
     fingerprint: int
-    done: bool
+    completed: bool
     reply: Reply | None
 
 
@@ -215,16 +219,16 @@
 
     id: int
     service: str
-    keys: list[EndedKey]
+    keys: list[FinishedKey]
 
 
-class KeysTaken(msgspec.Struct, tag='kt', array_like=True):
+class KeysAck(msgspec.Struct, tag='kt', array_like=True):
     """Answers a KeysPush, so that the next part is sent only when this one is read."""
 
     id: int
 
 
-RecordFrame = RecordsAsk | RecordsPush
+RecordFrame = RecordsRequest | RecordsPush
 Frame = (
     Challenge
     | Hello
@@ -234,10 +238,10 @@
     | Cancel
     | Ping
     | Pong
-    | RecordsAsk
-    | RecordsAnswer
+    | RecordsRequest
+    | RecordsResponse
     | RecordsPush
-    | Deaths
+    | TargetDeaths
     | KeysPush
-    | KeysTaken
+    | KeysAck
 )
--- a/dunlinsaddle/calls/owned_keys.py
+++ b/dunlinsaddle/calls/owned_keys.py
@@ -1,13 +1,10 @@
 """The owner's side of at-most-once: remembers keys, and runs each of them one time."""
-
 import asyncio
-from collections.abc import Callable
-
 import msgspec
-
+from collections.abc import Callable
 from dunlinsaddle.calls.call_state import PendingCall
 from dunlinsaddle.calls.execute import Executor
-from dunlinsaddle.calls.member_calls import MemberCalls, candidates_of
+from dunlinsaddle.calls.member_calls import MemberCaller, to_candidates
 from dunlinsaddle.calls.messages import Lost, NotSent, Reply, refusal
 from dunlinsaddle.errors import ErrorKind, Failure, Outcome
 from dunlinsaddle.membership.view import MemberView
@@ -32,7 +29,7 @@
         me: Owner,
         clock: Callable[[], int],
         view: MemberView,
-        calls: MemberCalls,
+        calls: MemberCaller,
         executor: Executor,
         stats: Stats,
         window: Callable[[str], float],
@@ -94,25 +91,25 @@
         """Run a call beside this node, or hand it on as long as it provably did not run."""
         handed = call.allowance.delegate()
         reply = await self.executor.execute(call._replace(allowance=RetryAllowance(handed)))
-        call.allowance.reclaim(handed, reply.unspent)
+        call.allowance.reclaim(handed, reply.unspent_retry_tokens)
         tried = {self.me.instance}
         while _goes_on(reply) and len(tried) <= MAX_HANDED_ON:
             now = asyncio.get_running_loop().time()
             members = {m.instance: m for m in self.view.serving(call.ctx.service)}
-            candidates = candidates_of(members.values())
+            candidates = to_candidates(members.values())
             chosen = self.calls.router.choose(now, candidates, frozenset(tried))
             if chosen is None or not call.allowance.spend():
                 break
             tried.add(chosen.instance)
             self.stats.retries += 1
-            match await self.calls.call(call, members[chosen.instance], owned=True):
+            match await self.calls.call(call, members[chosen.instance], owner_approved=True):
                 case Reply() as answer:
                     reply = answer
                 case NotSent(detail):
                     reply = refusal(Failure(ErrorKind.NO_TARGET, detail, RETRY_AFTER_SECONDS))
                 case Lost(detail, kind):
                     reply = refusal(Failure(kind, detail))
-        reply.unspent = call.allowance.tokens
+        reply.unspent_retry_tokens = call.allowance.tokens
         return reply
 
     def table(self, service: str) -> KeyTable[Reply]:
@@ -139,4 +136,4 @@
 
 def _copy(reply: Reply) -> Reply:
     # A reply is given its number on each link that it leaves by.
-    return msgspec.structs.replace(reply, unspent=0, load=None)
+    return msgspec.structs.replace(reply, unspent_retry_tokens=0, load=None)
--- a/dunlinsaddle/calls/peer_server.py
+++ b/dunlinsaddle/calls/peer_server.py
@@ -4,30 +4,30 @@
 from collections.abc import Awaitable, Callable
 
 from dunlinsaddle.calls.frames import (
-    HANDSHAKE_TIMEOUT,
+    HANDSHAKE_TIMEOUT_SECONDS,
     NONCE_BYTES,
     FrameProtocol,
     LinkLimits,
     Role,
-    proves,
-    sign,
+    is_valid_proof,
+    make_proof,
 )
 from dunlinsaddle.calls.messages import (
     Call,
     Cancel,
     Challenge,
-    Deaths,
     Frame,
     Hello,
+    KeysAck,
     KeysPush,
-    KeysTaken,
     Ping,
     Pong,
     RecordFrame,
-    RecordsAnswer,
-    RecordsAsk,
     RecordsPush,
+    RecordsRequest,
+    RecordsResponse,
     Reply,
+    TargetDeaths,
     Welcome,
     refusal,
 )
@@ -35,7 +35,7 @@
 from dunlinsaddle.settings import Address
 
 CallHandler = Callable[[Call], Awaitable[Reply]]
-RecordsHandler = Callable[[RecordFrame], RecordsAnswer | None]
+RecordsHandler = Callable[[RecordFrame], RecordsResponse | None]
 
 
 class _Serving(FrameProtocol):
@@ -50,11 +50,11 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         super().connection_made(transport)
-        if len(self.server.links) >= self.limits.links:
+        if len(self.server.links) >= self.limits.max_links:
             self.transport.abort()
             return
         self.server.links.add(self)
-        self.timer = self.loop.call_later(HANDSHAKE_TIMEOUT, self.transport.abort)
+        self.timer = self.loop.call_later(HANDSHAKE_TIMEOUT_SECONDS, self.transport.abort)
         self.send(Challenge(self.nonce))
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -91,21 +91,21 @@
                     task.cancel()
             case Ping() if self.instance:
                 self.send(Pong(frame.number))
-            case RecordsAsk() | RecordsPush() if self.instance:
+            case RecordsRequest() | RecordsPush() if self.instance:
                 answer = self.server.on_records(frame)
                 if answer is not None:
                     self.send(answer)
-            case Deaths() if self.instance:
+            case TargetDeaths() if self.instance:
                 self.server.on_deaths(frame)
             case KeysPush() if self.instance:
                 self.server.on_keys(frame)
-                self.send(KeysTaken(frame.id))
+                self.send(KeysAck(frame.id))
             case _:
                 self.transport.abort()
 
     def _check(self, hello: Hello) -> None:
         key = self.server.key
-        right = proves(key, Role.DIALLING, self.nonce, hello.instance, hello.proof)
+        right = is_valid_proof(key, Role.DIALLING, self.nonce, hello.instance, hello.proof)
         if not right or not hello.instance or len(hello.nonce) != NONCE_BYTES:
             self.server.refused += 1
             self.transport.abort()
@@ -113,15 +113,15 @@
         self.stop_timer()
         self.instance = hello.instance
         self.trust()
-        self.send(Welcome(sign(key, Role.LISTENING, hello.nonce, '')))
+        self.send(Welcome(make_proof(key, Role.LISTENING, hello.nonce, '')))
 
     def _begin(self, call: Call) -> None:
-        if len(self.tasks) >= self.limits.calls:
+        if len(self.tasks) >= self.limits.max_calls:
             self.send(refusal(Failure(ErrorKind.OVERLOADED, retry_after=1.0), call_id=call.id))
             return
         if self.timer is None:
             self.busy_since = self.loop.time()
-            self.timer = self.loop.call_later(self.limits.probe_every, self._watch)
+            self.timer = self.loop.call_later(self.limits.probe_interval, self._watch)
         self.tasks[call.id] = self.loop.create_task(self._serve(call))
 
     def _watch(self) -> None:
@@ -131,7 +131,7 @@
         if self.silent(self.busy_since):
             self.transport.abort()
         elif self.tasks or self.full:
-            self.timer = self.loop.call_later(self.limits.probe_every, self._watch)
+            self.timer = self.loop.call_later(self.limits.probe_interval, self._watch)
 
     async def _serve(self, call: Call) -> None:
         try:
@@ -170,7 +170,7 @@
         self.links: set[_Serving] = set()
         self.refused = 0
         self.on_records: RecordsHandler = lambda frame: None
-        self.on_deaths: Callable[[Deaths], None] = lambda frame: None
+        self.on_deaths: Callable[[TargetDeaths], None] = lambda frame: None
         self.on_keys: Callable[[KeysPush], None] = lambda frame: None
         self._server: asyncio.Server | None = None
         self._idle = asyncio.Event()
--- a/dunlinsaddle/calls/pool.py
+++ b/dunlinsaddle/calls/pool.py
@@ -5,17 +5,19 @@
 from dunlinsaddle.calls.connection import ClientConnection
 from dunlinsaddle.settings import Address
 
-MAX_IDLE = 64  #: connections kept to one address: more would fill the target's places
+MAX_IDLE_CONNECTIONS = 64  #: connections kept to one address: more would fill the target's places
 #: A kept connection is used again only this long after its last answer, in seconds. Shorter
 #: than the idle timeout of common servers, so that a request seldom meets their closing.
-REUSE_SECONDS = 2.0
-PRUNE_MARGIN = 0.01  #: seconds by which the timer comes later, to find the connection expired
-OVERDUE_SECONDS = 1.0  #: seconds; by judgement
+MAX_REUSE_IDLE_SECONDS = 2.0
+PRUNE_MARGIN_SECONDS = (
+    0.01  #: seconds by which the timer comes later, to find the connection expired
+)
+MIN_OVERDUE_SECONDS = 1.0  #: seconds; by judgement
 OVERDUE_FACTOR = 4.0  #: times the slowest recent answer from which one is late
 SLOWEST_DECAY = 0.98  #: what one answer leaves of the slowest: half after 34
 
 
-class Pool:
+class ConnectionPool:
     """The kept connections to one address, and how long its answers take."""
 
     def __init__(self, address: Address) -> None:
@@ -27,7 +29,7 @@
 
     def take(self, within: float) -> ClientConnection | None:
         """Give the connection that was answered on last, if that is recent enough."""
-        while self.idle and not self.idle[-1].reusable(REUSE_SECONDS):
+        while self.idle and not self.idle[-1].reusable(MAX_REUSE_IDLE_SECONDS):
             self.idle.pop().transport.abort()
         if not self.idle or not self.idle[-1].reusable(within):
             return None
@@ -36,13 +38,13 @@
     def _prune(self) -> None:
         """Close what will not be used again, the oldest first: it fills the target's places."""
         self.timer = None
-        while self.idle and not self.idle[0].reusable(REUSE_SECONDS):
+        while self.idle and not self.idle[0].reusable(MAX_REUSE_IDLE_SECONDS):
             self.idle.pop(0).transport.abort()
         if self.idle:
             self._prune_after(self.idle[0])
 
     def _prune_after(self, conn: ClientConnection) -> None:
-        at = conn.answered_at + REUSE_SECONDS + PRUNE_MARGIN
+        at = conn.answered_at + MAX_REUSE_IDLE_SECONDS + PRUNE_MARGIN_SECONDS
         self.timer = conn.loop.call_at(at, self._prune)
 
     def keep(self, conn: ClientConnection, sent_at: float) -> None:
@@ -52,7 +54,7 @@
         took = conn.loop.time() - sent_at
         self.slowest = max(self.slowest * SLOWEST_DECAY, took)
         self.answered_at = max(self.answered_at, sent_at)
-        if len(self.idle) < MAX_IDLE:
+        if len(self.idle) < MAX_IDLE_CONNECTIONS:
             self.idle.append(conn)
             if self.timer is None:
                 self._prune_after(conn)
@@ -67,4 +69,4 @@
 
     def overdue_at(self, sent_at: float) -> float:
         """Give the time from which an answer is late against the usual."""
-        return sent_at + max(OVERDUE_SECONDS, OVERDUE_FACTOR * self.slowest)
+        return sent_at + max(MIN_OVERDUE_SECONDS, OVERDUE_FACTOR * self.slowest)
--- a/dunlinsaddle/calls/target.py
+++ b/dunlinsaddle/calls/target.py
@@ -1,16 +1,14 @@
 """The target beside a node: what is known of it, and how it is spoken to."""
-
 from collections.abc import Callable
-from typing import NamedTuple, Protocol
-
 from dunlinsaddle.calls.call_state import PendingCall, RunningCall
 from dunlinsaddle.calls.http import HttpResponse, forwarded_headers
 from dunlinsaddle.calls.messages import Headers, Reply
 from dunlinsaddle.errors import Outcome
 from dunlinsaddle.settings import Address
+from typing import NamedTuple, Protocol
 
 
-class Said(NamedTuple):
+class AdvertisedState(NamedTuple):
     """What a target says of itself with an answer, beside the answer to the request."""
 
     rate: float | None = None  #: requests a second that it takes from all nodes, None for no bound
@@ -18,29 +16,29 @@
     unreadable: str | None = None  #: a rate that says nothing, as it cannot be read
 
 
-NOTHING_SAID = Said()
+NOTHING_ADVERTISED = AdvertisedState()
 
 
 class TargetDialect(Protocol):
     """How a target is spoken to: what goes with a call, and what its answer says."""
 
-    def headers(self, work: PendingCall, running: RunningCall, seconds: float) -> Headers:
+    def request_headers(self, work: PendingCall, running: RunningCall, seconds: float) -> Headers:
         """Give the headers of a call that the target has ``seconds`` for."""
 
-    def belongs(self, work: PendingCall, headers: Headers) -> bool:
+    def matches_request(self, work: PendingCall, headers: Headers) -> bool:
         """Say whether an answer with these headers is one to this call."""
 
-    def reply(self, response: HttpResponse) -> Reply:
+    def read_reply(self, response: HttpResponse) -> Reply:
         """Tell what a whole answer says of the call."""
 
-    def said(self, response: HttpResponse) -> Said | None:
+    def read_advertised_state(self, response: HttpResponse) -> AdvertisedState | None:
         """Tell what a whole answer says of the target; None unless it is the target's own."""
 
 
-class PlainDialect:
+class DefaultDialect:
     """The product's own way: a target passes a token on with the calls that it makes."""
 
-    def headers(self, work: PendingCall, running: RunningCall, seconds: float) -> Headers:
+    def request_headers(self, work: PendingCall, running: RunningCall, seconds: float) -> Headers:
         """Give the caller's headers, the time left, and the token."""
         return [
             *((n, v) for n, v in forwarded_headers(work.headers) if n != b'request-timeout'),
@@ -49,16 +47,16 @@
             (b'dunlinsaddle-request', work.ctx.request_id.encode()),
         ]
 
-    def belongs(self, work: PendingCall, headers: Headers) -> bool:
+    def matches_request(self, work: PendingCall, headers: Headers) -> bool:
         """Take every answer: these targets do not name the request in them."""
         return True
 
-    def reply(self, response: HttpResponse) -> Reply:
+    def read_reply(self, response: HttpResponse) -> Reply:
         """Take a whole answer for the end of the work."""
         headers = forwarded_headers(response.headers)
         return Reply(0, response.status, headers, response.body, Outcome.DONE)
 
-    def said(self, response: HttpResponse) -> Said | None:
+    def read_advertised_state(self, response: HttpResponse) -> AdvertisedState | None:
         """Tell nothing: these targets ask for their drain themselves, and name no rate."""
         return None
 
@@ -72,15 +70,15 @@
         self.service = ''
         self.address: Address | None = None
         self.target_id = ''  #: names the incarnation, where targets say so
-        self.started = 0  #: Unix milliseconds, 0 where targets do not say
-        self.leaving = False  #: the node itself stops, whatever the target says
+        self.started_at_ms = 0  #: Unix milliseconds, 0 where targets do not say
+        self.node_draining = False  #: the node itself stops, whatever the target says
         self._drains = False
         self._refused = False
 
     @property
     def draining(self) -> bool:
         """Whether nothing new may be given to it."""
-        return self._drains or self.leaving
+        return self._drains or self.node_draining
 
     def announce(self, service: str, address: Address) -> None:
         """Take an announcement; that of a new target ends the drain of the old one.
@@ -90,19 +88,21 @@
         """
         same = (service, address) == (self.service, self.address)
         if not same or self._refused:
-            self.begin(service, address, self.target_id)
+            self.start_incarnation(service, address, self.target_id)
 
     @property
     def incarnation(self) -> str:
         """Name this start of it: a target may start again under the id that it had."""
-        return f'{self.target_id}/{self.started}'
+        return f'{self.target_id}/{self.started_at_ms}'
 
-    def begin(self, service: str, address: Address, target_id: str, started: int = 0) -> None:
+    def start_incarnation(
+        self, service: str, address: Address, target_id: str, started_at_ms: int = 0
+    ) -> None:
         """Take a new incarnation, which names itself: whatever was held of the old one is over."""
         self.service = service
         self.address = address
         self.target_id = target_id
-        self.started = started
+        self.started_at_ms = started_at_ms
         self._drains = self._refused = False
         self.on_start()
 
@@ -112,10 +112,10 @@
             self._drains = True
             self.on_drain()
 
-    def note_refused(self) -> None:
+    def record_connection_refused(self) -> None:
         """Note that it takes no connections."""
         self._refused = True
 
-    def withdraw(self) -> None:
+    def clear(self) -> None:
         """Forget it: it has gone."""
         self.service, self.address = '', None
--- a/dunlinsaddle/mesh/announce.py
+++ b/dunlinsaddle/mesh/announce.py
@@ -1,18 +1,15 @@
 """The face on which the target beside the node says that it lives, drains and goes."""
-
 import asyncio
 import logging
 import math
 from collections.abc import Callable
-
-from result import Err, Ok
-
 from dunlinsaddle.calls.http import HttpRequest, HttpResponse
 from dunlinsaddle.calls.target import LocalTarget
 from dunlinsaddle.mesh.beats import Farewell, Heartbeat, TargetLog
 from dunlinsaddle.platform.heartbeats import acknowledgement, read_heartbeat, rejection
 from dunlinsaddle.policy.slots import SlotAdmission
 from dunlinsaddle.settings import Address
+from result import Err, Ok
 
 
 class AnnounceFace:
@@ -54,7 +51,7 @@
     def _farewell(self, farewell: Farewell) -> None:
         if self.log.leave(farewell):
             self.logger.info('target left', extra={'target': farewell.target_id})
-            self.target.withdraw()
+            self.target.clear()
             self.on_change()
 
     def _heartbeat(self, beat: Heartbeat) -> None:
@@ -66,7 +63,7 @@
         new = held is None or (held.target_id, held.started) != (beat.target_id, beat.started)
         if new:
             self.logger.info('target announced', extra=_named(beat))
-            self.target.begin(beat.service, self.address, beat.target_id, beat.started)
+            self.target.start_incarnation(beat.service, self.address, beat.target_id, beat.started)
         if beat.draining and not self.target.draining:
             self.logger.info('target drains', extra=_named(beat))
             self.target.drain()
--- a/dunlinsaddle/mesh/entry.py
+++ b/dunlinsaddle/mesh/entry.py
@@ -1,32 +1,22 @@
 """The face for callers and for the target's own calls: routes a request and answers it."""
-
 import asyncio
 import math
-from collections.abc import Callable
-from random import Random
-
 import uuid6
-from result import Err, Ok
-
+from collections.abc import Callable
 from dunlinsaddle.access.gate import Gate, Holder, rank_of
 from dunlinsaddle.access.quotas import Quotas
 from dunlinsaddle.calls.call_state import PendingCall, RunningCall, RunningCalls, WaitTime
 from dunlinsaddle.calls.decisions import DecisionLog
 from dunlinsaddle.calls.dispatch import Dispatcher
 from dunlinsaddle.calls.handlers import request_fingerprint
-from dunlinsaddle.calls.http import FIRST_ERROR_STATUS, HttpRequest, HttpResponse
+from dunlinsaddle.calls.http import HttpRequest, HttpResponse, MIN_SERVER_ERROR_STATUS
 from dunlinsaddle.calls.messages import Reply, refusal
 from dunlinsaddle.errors import ErrorKind, Failure, Outcome
 from dunlinsaddle.loops import OnLoop
 from dunlinsaddle.mesh.resends import Attempts
-from dunlinsaddle.platform.requests import (
-    CallerTerms,
-    caller_response,
-    read_terms,
-    travelling_headers,
-)
+from dunlinsaddle.platform.requests import CallerTerms, caller_response, read_terms, travelling_headers
 from dunlinsaddle.policy.admission import Load
-from dunlinsaddle.policy.context import MAX_HOPS, CallContext, priority_of
+from dunlinsaddle.policy.context import CallContext, MAX_HOPS, priority_of
 from dunlinsaddle.policy.failure_throttle import FailureThrottle
 from dunlinsaddle.policy.request_costs import RequestCosts
 from dunlinsaddle.policy.retry_budget import RetryBudget
@@ -34,6 +24,8 @@
 from dunlinsaddle.routes.follow import ConfigFollower
 from dunlinsaddle.routes.models import Route
 from dunlinsaddle.routes.table import choose_service
+from random import Random
+from result import Err, Ok
 
 COMMON_TIME = 10.0  #: seconds for a caller that names no time of its own
 #: Seconds after which a request comes again that failed for a call without a time of its own: an
@@ -82,7 +74,7 @@
         version = table.configuration.version
         if route is None:
             host = req.header(b'host')
-            self.decisions.unrouted(terms.request_id, host, req.path, version)
+            self.decisions.log_unrouted(terms.request_id, host, req.path, version)
             return _refused(terms, ErrorKind.NO_ROUTE)
         loop = self.loop
         began = loop.time()
@@ -98,18 +90,18 @@
             self.budget.record_repeat(began, work.ctx.service)
         else:
             self.budget.record_request(began, work.ctx.service)
-        self.decisions.routed(work, version)
+        self.decisions.log_routed(work, version)
         try:
             reply = await self._answer(work, parent, holder)
         except asyncio.CancelledError:
-            self.decisions.cancelled(work.ctx, loop.time() - began)
+            self.decisions.log_cancelled(work.ctx, loop.time() - began)
             raise
-        if reply.load is not None and not reply.kind and reply.status < FIRST_ERROR_STATUS:
+        if reply.load is not None and not reply.kind and reply.status < MIN_SERVER_ERROR_STATUS:
             self._learn_cost(work, reply.load, parent)
-        if parent is not None and (reply.kind or reply.status >= FIRST_ERROR_STATUS):
+        if parent is not None and (reply.kind or reply.status >= MIN_SERVER_ERROR_STATUS):
             _note_failed(parent, work, reply)
         took = loop.time() - began
-        self.decisions.ended(work, reply, took, version)
+        self.decisions.log_completed(work, reply, took, version)
         self.on_end(work, reply, took)
         return caller_response(reply, terms.request_id)
 
@@ -141,7 +133,7 @@
         self, request_id: str, rule: str, failure: Failure, organisation: str = ''
     ) -> None:
         version, age = self.follower.version, self.gate.freshness.age
-        self.decisions.denied(request_id, rule, failure, version, age, organisation)
+        self.decisions.log_denied(request_id, rule, failure, version, age, organisation)
 
     def _learn_cost(self, work: PendingCall, load: Load, parent: RunningCall | None) -> None:
         if parent is not None:
--- a/dunlinsaddle/mesh/news.py
+++ b/dunlinsaddle/mesh/news.py
@@ -1,11 +1,9 @@
 """What the target beside the node says of itself with its answers, and for how long it holds."""
-
 import math
 from collections.abc import Callable
-
 from dunlinsaddle.calls.decisions import DecisionLog
-from dunlinsaddle.calls.messages import Told
-from dunlinsaddle.calls.target import NOTHING_SAID, LocalTarget, Said
+from dunlinsaddle.calls.messages import RelayedTargetState
+from dunlinsaddle.calls.target import AdvertisedState, LocalTarget, NOTHING_ADVERTISED
 from dunlinsaddle.loops import OnLoop
 from dunlinsaddle.policy.rate_limit import MIN_RATE
 from dunlinsaddle.policy.slots import SlotAdmission
@@ -30,34 +28,34 @@
         self.target = target
         self.admission = admission
         self.decisions = decisions
-        self.said = NOTHING_SAID
+        self.said = NOTHING_ADVERTISED
         self._named_at = -math.inf  #: when the rate was named last
         self._began_at = -math.inf  #: when the present incarnation was announced
         self._heard_at = -math.inf  #: when it has answered last
 
     def restarted(self) -> None:
         """Forget what the incarnation before has said."""
-        self.said = NOTHING_SAID
+        self.said = NOTHING_ADVERTISED
         self._began_at = self.now()
         self._heard_at = -math.inf
 
-    def told(self) -> Told | None:
+    def told(self) -> RelayedTargetState | None:
         """Give what others are told, None where there is nothing to tell."""
         said = self.said
-        if said == NOTHING_SAID:
+        if said == NOTHING_ADVERTISED:
             return None
         rate = None if said.rate is None else max(said.rate, MIN_RATE)
         use = self.admission.rate_utilisation(self.now())
-        return Told(self.target.incarnation, rate, use, said.leaving)
+        return RelayedTargetState(self.target.incarnation, rate, use, said.leaving)
 
-    def recall(self, request_id: str, told: Told | None) -> None:
+    def recall(self, request_id: str, told: RelayedTargetState | None) -> None:
         """Take what this node told another before it was started again, of the same incarnation."""
         if told is None or told.incarnation != self.target.incarnation:
             return
         rate = told.rate if self._heard_at == -math.inf else self.said.rate
-        self._take(request_id, Said(rate, told.leaving), 'entry')
+        self._take(request_id, AdvertisedState(rate, told.leaving), 'entry')
 
-    def hear(self, request_id: str, sent_at: float, said: Said) -> None:
+    def hear(self, request_id: str, sent_at: float, said: AdvertisedState) -> None:
         """Take what came with the answer to a request that was sent at ``sent_at``."""
         if sent_at < self._began_at:
             return
@@ -70,14 +68,14 @@
             self._named_at = self._heard_at
         self._take(request_id, said, 'answer')
 
-    def _take(self, request_id: str, said: Said, source: str) -> None:
+    def _take(self, request_id: str, said: AdvertisedState, source: str) -> None:
         held = self.said
         if held.leaving and not said.leaving:
             # One that leaves does so for good, whatever answers are still on their way.
             said = said._replace(leaving=True)
         if said == held:
             return
-        self.decisions.target_said(request_id, self.target.target_id, said, held, source)
+        self.decisions.log_target_state(request_id, self.target.target_id, said, held, source)
         self.said = said
         self.admission.set_rate_limit(self.now(), said.rate)
         if said.leaving and not held.leaving:
@@ -85,5 +83,5 @@
             self.on_leave()
 
 
-def _rate(said: Said) -> float:
+def _rate(said: AdvertisedState) -> float:
     return math.inf if said.rate is None else said.rate
--- a/dunlinsaddle/mesh/node.py
+++ b/dunlinsaddle/mesh/node.py
@@ -1,13 +1,8 @@
 """One node on the platform: wires its parts together and runs their loops."""
-
 import asyncio
 import contextlib
 import logging
 from collections.abc import Callable, Coroutine
-from functools import partial
-from random import Random
-from typing import TYPE_CHECKING, Any, NamedTuple
-
 from dunlinsaddle.access.freshness import Freshness
 from dunlinsaddle.access.gate import Gate
 from dunlinsaddle.access.peers import GossipPeers
@@ -21,7 +16,7 @@
 from dunlinsaddle.calls.frames import LinkLimits
 from dunlinsaddle.calls.http import HttpLimits, HttpRequest, HttpResponse
 from dunlinsaddle.calls.link import PeerLinks
-from dunlinsaddle.calls.listener import HttpFace
+from dunlinsaddle.calls.listener import HttpListener
 from dunlinsaddle.calls.messages import Call, Reply
 from dunlinsaddle.calls.peer_server import PeerServer
 from dunlinsaddle.calls.target import LocalTarget
@@ -53,6 +48,9 @@
 from dunlinsaddle.routes.proofs import ProofAsker
 from dunlinsaddle.settings import Address
 from dunlinsaddle.stats import CallLabel, Hop, Stats
+from functools import partial
+from random import Random
+from typing import Any, NamedTuple, TYPE_CHECKING
 
 if TYPE_CHECKING:
     from dunlinsaddle.mesh.metrics import MeshMetrics
@@ -129,7 +127,7 @@
 
     def _build_membership(self) -> None:
         cfg = self.settings
-        limits = LinkLimits(body_bytes=BODY_BYTES)
+        limits = LinkLimits(max_body_bytes=BODY_BYTES)
         self.agent = GossipAgent(self.view, PEER_KEY, self._rng(), times=TIMES)
         self.links = PeerLinks(PEER_KEY, cfg.instance, limits)
         self.peer_server = PeerServer(PEER_KEY, self._serve_peer, limits, self._peer_fault)
@@ -162,7 +160,7 @@
 
     def _build_calls(self) -> None:
         cfg = self.settings
-        self.client = HttpClient(BODY_BYTES, open_ended=True)
+        self.client = HttpClient(BODY_BYTES, allow_close_delimited=True)
         self.executor = Executor(
             self.target,
             self.admission,
@@ -218,12 +216,12 @@
             self._announce_self,
             self.logger,
         )
-        limits = HttpLimits(body_bytes=BODY_BYTES)
-        self.callers_http = HttpFace(self.entry.handle, limits, self._fault, pipeline=PIPELINE)
-        self.announce_http = HttpFace(self.announce.handle, HttpLimits(), self._fault)
-        self.ready_http = HttpFace(self._answer_ready, HttpLimits(), self._fault)
+        limits = HttpLimits(max_body_bytes=BODY_BYTES)
+        self.callers_http = HttpListener(self.entry.handle, limits, self._fault, pipeline=PIPELINE)
+        self.announce_http = HttpListener(self.announce.handle, HttpLimits(), self._fault)
+        self.ready_http = HttpListener(self._answer_ready, HttpLimits(), self._fault)
         self.metrics: MeshMetrics | None = None  #: built when somebody asks for them
-        self.metrics_http = HttpFace(self._answer_metrics, HttpLimits(), self._fault)
+        self.metrics_http = HttpListener(self._answer_metrics, HttpLimits(), self._fault)
 
     async def start(self) -> Faces:
         """Listen on all faces and start the loops. Raises OSError when an address is taken."""
@@ -256,7 +254,7 @@
         loop = self.loop
         kill_at = loop.time() + self.settings.bounds.grace - KILL_MARGIN
         self.leaving = True
-        self.target.leaving = True
+        self.target.node_draining = True
         self._announce_self()
         self.executor.refuse_waiting()
         self.callers_http.start_closing()
@@ -371,7 +369,7 @@
         self.stats.took(Hop.WHOLE, took)
 
     async def _serve_peer(self, call: Call) -> Reply:
-        self.news.recall(call.request_id, call.told)
+        self.news.recall(call.request_id, call.target_state)
         return await self.executor.execute(read_call_frame(call, self.now()))
 
     def _peer_fault(self, call: Call) -> None:
--- a/dunlinsaddle/node.py
+++ b/dunlinsaddle/node.py
@@ -1,13 +1,8 @@
 """One node: wires the rooms together and runs their loops."""
-
 import asyncio
 import contextlib
 import logging
 import secrets
-from functools import partial
-from random import Random
-from typing import Any
-
 from dunlinsaddle.admin import OperatorsFace
 from dunlinsaddle.calls.call_state import RunningCalls, read_call_frame, record_added_latency
 from dunlinsaddle.calls.client import HttpClient
@@ -20,7 +15,7 @@
 from dunlinsaddle.calls.http import HttpLimits, HttpRequest
 from dunlinsaddle.calls.idempotency import IdempotencyRouter
 from dunlinsaddle.calls.link import PeerLinks
-from dunlinsaddle.calls.listener import HttpFace
+from dunlinsaddle.calls.listener import HttpListener
 from dunlinsaddle.calls.messages import Call, Reply
 from dunlinsaddle.calls.peer_server import PeerServer
 from dunlinsaddle.calls.target import LocalTarget
@@ -46,6 +41,9 @@
 from dunlinsaddle.records.sync import RecordSync
 from dunlinsaddle.settings import Settings
 from dunlinsaddle.stats import Stats
+from functools import partial
+from random import Random
+from typing import Any
 
 KEY_WINDOW = 900.0  #: seconds for which keys are remembered where no record says so
 WATCH_SECONDS = 0.25  #: seconds between two looks at the target; an announcement comes each second
@@ -73,7 +71,7 @@
         rng = Random(env.rng.random())
         self.agent = GossipAgent(self.view, settings.peer_key, rng, settings.seeds)
         self.target_watch = TargetWatch()
-        link_limits = LinkLimits(body_bytes=settings.max_body_bytes)
+        link_limits = LinkLimits(max_body_bytes=settings.max_body_bytes)
         self.links = PeerLinks(settings.peer_key, settings.instance, link_limits)
         self.admission = Admission()
         self.quarantine = Quarantine()
@@ -145,9 +143,9 @@
         callers = CallerHandler(self.book, self.dispatcher, self.stats, self._outcome_unknown)
         self.local = LocalTargetHandler(self.target, self.running, self.book, self.dispatcher)
         operators = OperatorsFace(self, self.env.wall_clock)
-        self.callers_http = HttpFace(callers.handle, limits, self._fault)
-        self.local_http = HttpFace(self.local.handle, limits, self._fault)
-        self.operators_http = HttpFace(operators.handle, limits, self._fault)
+        self.callers_http = HttpListener(callers.handle, limits, self._fault)
+        self.local_http = HttpListener(self.local.handle, limits, self._fault)
+        self.operators_http = HttpListener(operators.handle, limits, self._fault)
         self.peer_server = PeerServer(cfg.peer_key, self._serve_peer, link_limits, self._peer_fault)
 
     def _build_sync(self) -> RecordSync:
@@ -215,7 +213,7 @@
 
     async def drain(self) -> None:
         """Take no new work, tell the others, and wait for what is in progress."""
-        self.target.leaving = True
+        self.target.node_draining = True
         self.local.target_changed.set()
         self.callers_http.start_closing()
         # Not awaited here: a platform that is out must not hold up the drain.
@@ -316,7 +314,7 @@
         self.logger.exception('fault while answering a peer', extra={'service': call.service})
 
     async def _serve_peer(self, call: Call) -> Reply:
-        if not call.idempotent and not call.owned:
+        if not call.idempotent and not call.owner_approved:
             return await self.once.handle_peer_call(call)
         loop = asyncio.get_running_loop()
         began = loop.time()
@@ -338,12 +336,12 @@
                 self.target_watch.heard(loop.time())
             elif await self._target_gone(loop.time()):
                 self.logger.warning('target gone', extra={'service': self.target.service})
-                self.target.withdraw()
+                self.target.clear()
             self._configure()
             self.agent.announce(self.me())
 
     async def _target_gone(self, now: float) -> bool:
         address = self.target.address
-        if address is None or self.target.leaving:
+        if address is None or self.target.node_draining:
             return False
         return await self.target_watch.gone(now, address)
--- a/dunlinsaddle/platform/client.py
+++ b/dunlinsaddle/platform/client.py
@@ -165,7 +165,7 @@
         req = HttpRequest(method, path, headers, body, '')
         again = _once_more if method == 'GET' and repeats else None
         exchange = await self.client.send(
-            self.address, req, timeout or self.timeout, may_repeat=again
+            self.address, req, timeout or self.timeout, allow_resend=again
         )
         match exchange:
             case Answered(response):
--- a/dunlinsaddle/platform/requests.py
+++ b/dunlinsaddle/platform/requests.py
@@ -7,7 +7,7 @@
 from dunlinsaddle.access.keys import digest_of
 from dunlinsaddle.calls.http import HttpRequest, HttpResponse, forwarded_headers
 from dunlinsaddle.calls.messages import Headers, Reply, refusal
-from dunlinsaddle.calls.target import NOTHING_SAID, Said
+from dunlinsaddle.calls.target import NOTHING_ADVERTISED, AdvertisedState
 from dunlinsaddle.errors import ErrorKind, Failure, Outcome
 from dunlinsaddle.platform import headers as names
 
@@ -90,7 +90,7 @@
     return Reply(0, response.status, kept, response.body, Outcome.DONE)
 
 
-def read_said(response: HttpResponse, target_id: str) -> Said | None:
+def read_said(response: HttpResponse, target_id: str) -> AdvertisedState | None:
     """Tell what an answer says of the target; None unless that target has made it, unchanged.
 
     Of several rates the lowest counts. A rate that cannot be read says nothing.
@@ -105,10 +105,10 @@
         return None
     leaving = found.get(names.LEAVING) == b'1'
     if names.RATE not in found:
-        return Said(leaving=leaving) if leaving else NOTHING_SAID
+        return AdvertisedState(leaving=leaving) if leaving else NOTHING_ADVERTISED
     texts = [value.decode('latin-1') for name, value in response.headers if name == names.RATE]
     rates = [float(text) for text in texts if _DECIMAL.fullmatch(text)]
-    return Said(min(rates, default=None), leaving, None if rates else texts[0][:_SHOWN])
+    return AdvertisedState(min(rates, default=None), leaving, None if rates else texts[0][:_SHOWN])
 
 
 def caller_response(reply: Reply, request_id: str) -> HttpResponse:
--- a/dunlinsaddle/records/sync.py
+++ b/dunlinsaddle/records/sync.py
@@ -14,7 +14,7 @@
 
 from result import Err, Ok
 
-from dunlinsaddle.calls.messages import RecordFrame, RecordsAnswer, RecordsAsk, RecordsPush
+from dunlinsaddle.calls.messages import RecordFrame, RecordsPush, RecordsRequest, RecordsResponse
 from dunlinsaddle.membership.view import Member, MemberView, State
 from dunlinsaddle.platform.store import Listing, ObjectStore, Unavailable
 from dunlinsaddle.records import topology
@@ -95,10 +95,10 @@
             self._choices = _Choices(self.view.version, watchers, near)
         return self._choices
 
-    def take(self, frame: RecordFrame) -> RecordsAnswer | None:
+    def take(self, frame: RecordFrame) -> RecordsResponse | None:
         """Take a frame from a peer; gives the answer to a question."""
         match frame:
-            case RecordsAsk(id=number, since=since):
+            case RecordsRequest(id=number, since=since):
                 return self._answer(number, since)
             case RecordsPush():
                 self._take_push(frame)
@@ -120,7 +120,7 @@
             'watchers': self.watchers(),
         }
 
-    async def survey(self, most: int = 8) -> dict[str, list[RecordsAnswer | None]]:
+    async def survey(self, most: int = 8) -> dict[str, list[RecordsResponse | None]]:
         """Ask up to ``most`` members of each failure domain how far they are."""
         by_domain: dict[str, list[Member]] = {}
         for member in self._others():
@@ -132,27 +132,27 @@
         ]
         upto = self.book.complete_revision
         answers = await asyncio.gather(
-            *(self.links.ask_records(m.peers, RecordsAsk(0, upto), 0.5) for _, m in asked)
+            *(self.links.fetch_records(m.peers, RecordsRequest(0, upto), 0.5) for _, m in asked)
         )
-        found: dict[str, list[RecordsAnswer | None]] = {}
+        found: dict[str, list[RecordsResponse | None]] = {}
         for (domain, _), answer in zip(asked, answers, strict=True):
             found.setdefault(domain, []).append(answer)
         return found
 
-    def _answer(self, number: int, since: int) -> RecordsAnswer:
+    def _answer(self, number: int, since: int) -> RecordsResponse:
         upto = self.book.complete_revision
         age = _now() - self.fresh_at
         entries = self.book.documents_after(since)
         chunk = next(cut(entries, since, max(upto, since)))
         more = chunk.upto < upto
-        return RecordsAnswer(number, min(chunk.upto, upto), age, more, chunk.entries)
+        return RecordsResponse(number, min(chunk.upto, upto), age, more, chunk.entries)
 
     def _take_push(self, push: RecordsPush) -> None:
         new = self._take_entries(push.entries)
         self.book.complete(push.since, push.upto)
         me = self.me()
-        if push.domain == me.domain and push.root and self._first(push):
-            self._push(self._children(me.instance, push.root), push)
+        if push.domain == me.domain and push.tree_root and self._first(push):
+            self._push(self._children(me.instance, push.tree_root), push)
         if not new:
             return
         if push.domain != me.domain:
@@ -170,7 +170,7 @@
         Not whether it brought news: two trees of different shape reach each node, and one that
         ended where the other was faster would not go round a node that is dead in that one.
         """
-        key = (push.root, push.since, push.upto)
+        key = (push.tree_root, push.since, push.upto)
         if key in self._seen:
             return False
         self._seen[key] = None
@@ -279,10 +279,10 @@
             task.add_done_callback(self._pushes.discard)
 
     async def _push_to(self, member: Member, push: RecordsPush) -> None:
-        reached = await self.links.tell(member.peers, push)
-        if not reached and push.root and member.domain == push.domain == self.me().domain:
+        reached = await self.links.notify(member.peers, push)
+        if not reached and push.tree_root and member.domain == push.domain == self.me().domain:
             # A dead node serves nobody, so those below it would wait for the next exchange.
-            self._push(self._children(member.instance, push.root), push)
+            self._push(self._children(member.instance, push.tree_root), push)
 
     async def _exchange(self) -> None:
         await asyncio.sleep(self.times.exchange * self.rng.uniform(0.5, 1.0))
@@ -303,16 +303,16 @@
         """Take what a peer has and this node lacks, and send it what it lacks itself."""
         while True:
             since = self.book.complete_revision
-            ask = RecordsAsk(0, since)
-            answer = await self.links.ask_records(member.peers, ask, self.times.answer)
+            ask = RecordsRequest(0, since)
+            answer = await self.links.fetch_records(member.peers, ask, self.times.answer)
             if answer is None:
                 return False
             self._take_entries(answer.entries)
             self.book.complete(since, answer.upto)
-            if not answer.more or answer.upto <= since:
+            if not answer.has_more or answer.upto <= since:
                 break
         if answer.upto >= self.book.complete_revision:
-            self.fresh_at = max(self.fresh_at, _now() - answer.age)
+            self.fresh_at = max(self.fresh_at, _now() - answer.age_seconds)
         else:
             self._push_missing(member, answer.upto)
         return True
--- a/dunlinsaddle/records/sync_parts.py
+++ b/dunlinsaddle/records/sync_parts.py
@@ -2,7 +2,7 @@
 
 from typing import NamedTuple, Protocol
 
-from dunlinsaddle.calls.messages import RecordsAnswer, RecordsAsk, RecordsPush
+from dunlinsaddle.calls.messages import RecordsPush, RecordsRequest, RecordsResponse
 from dunlinsaddle.platform.store import WATCH_GRACE
 from dunlinsaddle.settings import Address
 
@@ -28,12 +28,12 @@
 class Links(Protocol):
     """What is asked of the links to peers."""
 
-    async def ask_records(
-        self, address: Address, ask: RecordsAsk, timeout: float
-    ) -> RecordsAnswer | None:
+    async def fetch_records(
+        self, address: Address, ask: RecordsRequest, timeout: float
+    ) -> RecordsResponse | None:
         """Ask a peer for records; None when no answer comes."""
 
-    async def tell(self, address: Address, push: RecordsPush) -> bool:
+    async def notify(self, address: Address, push: RecordsPush) -> bool:
         """Send records to a peer; say whether there is a link to it."""
 
 
--- a/dunlinsaddle/replay/nodes.py
+++ b/dunlinsaddle/replay/nodes.py
@@ -1,27 +1,17 @@
 """Small fakes of nodes: the real decisions, with latencies in place of connections."""
-
 from collections.abc import Callable
-from typing import NamedTuple
-
 from dunlinsaddle.errors import ErrorKind, Failure
-from dunlinsaddle.policy.admission import (
-    Admission,
-    AdmissionPolicy,
-    Load,
-    Refuse,
-    Sample,
-    Ticket,
-    Wait,
-)
+from dunlinsaddle.policy.admission import Admission, AdmissionPolicy, Load, Refuse, Sample, Ticket, Wait
 from dunlinsaddle.policy.retry import RetryAllowance
 from dunlinsaddle.policy.route import Candidate, Router
 from dunlinsaddle.records.models import ServiceRecord
-from dunlinsaddle.replay.attempt import ENTRY, Answer, Attempt, Parent, refused
+from dunlinsaddle.replay.attempt import Answer, Attempt, ENTRY, Parent, refused
 from dunlinsaddle.replay.events import EventLoop, Process, Waiter
 from dunlinsaddle.replay.fakes import FakeTarget, Network
 from dunlinsaddle.replay.trace import Call
+from typing import NamedTuple
 
-SILENT_AFTER = 1.0  #: seconds until a silent connection is dropped
+SILENCE_TIMEOUT_SECONDS = 1.0  #: seconds until a silent connection is dropped
 VIEW_LAG = 0.5  #: seconds until all nodes have heard that a target has gone or come
 
 
@@ -206,12 +196,12 @@
         if other is self:
             return (yield from self.execute(attempt, call, handed, hop))
         if not network.reaches(self.instance.domain, other.instance.domain):
-            yield SILENT_AFTER
+            yield SILENCE_TIMEOUT_SECONDS
             return refused(ErrorKind.PEER_LOST)
         yield network.between
         answer: Answer = yield from other.execute(attempt, call, handed, hop)
         yield network.between
         if not network.reaches(self.instance.domain, other.instance.domain):
-            yield SILENT_AFTER
+            yield SILENCE_TIMEOUT_SECONDS
             return refused(ErrorKind.PEER_LOST)
         return answer
--- a/dunlinsaddle/routes/follow.py
+++ b/dunlinsaddle/routes/follow.py
@@ -15,7 +15,12 @@
 
 from dunlinsaddle.access.freshness import Freshness
 from dunlinsaddle.calls.link import PeerLinks
-from dunlinsaddle.calls.messages import MAX_BUDGET, RecordFrame, RecordsAnswer, RecordsAsk
+from dunlinsaddle.calls.messages import (
+    MAX_TIMEOUT_SECONDS,
+    RecordFrame,
+    RecordsRequest,
+    RecordsResponse,
+)
 from dunlinsaddle.loops import Backoff, OnLoop
 from dunlinsaddle.membership.view import Member
 from dunlinsaddle.platform.store import (
@@ -160,14 +165,14 @@
                 self.freshness.prove(began)
         return found
 
-    def answer(self, frame: RecordFrame) -> RecordsAnswer | None:
+    def answer(self, frame: RecordFrame) -> RecordsResponse | None:
         """Answer a peer that has heard of a newer configuration, or cannot reach the store."""
-        if not isinstance(frame, RecordsAsk):
+        if not isinstance(frame, RecordsRequest):
             return None
         entry = self._entry
         entries = [entry] if entry is not None and entry.version > frame.since else []
-        age = min(max(self.freshness.age, 0.0), MAX_BUDGET)
-        return RecordsAnswer(frame.id, self.version, age, False, entries)
+        age = min(max(self.freshness.age, 0.0), MAX_TIMEOUT_SECONDS)
+        return RecordsResponse(frame.id, self.version, age, False, entries)
 
     def hear(self, member: Member, version: int) -> None:
         """Fetch what a peer says is newer; word of it comes again if that fails."""
@@ -194,14 +199,14 @@
         if self.links is None:
             return
         began = self.freshness.clock()
-        ask = RecordsAsk(0, self.version)
-        answer = await self.links.ask_records(member.peers, ask, PEER_SECONDS)
+        ask = RecordsRequest(0, self.version)
+        answer = await self.links.fetch_records(member.peers, ask, PEER_SECONDS)
         if answer is None:
             return
         for entry in answer.entries:
             self._take_told(entry, member.instance)
         if max(self.version, self._refused) >= answer.upto:
-            self.freshness.prove(began - answer.age)
+            self.freshness.prove(began - answer.age_seconds)
 
     def _take_listing(self, listing: Listing) -> None:
         before, now = place_of(self.known_to), place_of(listing.version)
--- a/standins/mesh_target.py
+++ b/standins/mesh_target.py
@@ -12,7 +12,7 @@
 from dunlinsaddle.calls.client import HttpClient
 from dunlinsaddle.calls.connection import Answered
 from dunlinsaddle.calls.http import HttpLimits, HttpRequest, HttpResponse, json_response
-from dunlinsaddle.calls.listener import HttpFace
+from dunlinsaddle.calls.listener import HttpListener
 from dunlinsaddle.platform import headers as names
 from dunlinsaddle.platform.heartbeats import PATH
 from dunlinsaddle.settings import read_address
@@ -131,7 +131,7 @@
     target = MeshTarget(options)
     stop = asyncio.Event()
     asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, stop.set)
-    face = HttpFace(target.handle, HttpLimits())
+    face = HttpListener(target.handle, HttpLimits())
     print(await face.listen(options.listen), flush=True)  # noqa: T201
     beating = asyncio.create_task(_beat_on(target))
     await stop.wait()
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from dunlinsaddle.calls.http import HttpLimits, HttpRequest, HttpResponse, json_response
-from dunlinsaddle.calls.listener import HttpFace
+from dunlinsaddle.calls.listener import HttpListener
 from dunlinsaddle.settings import Address, read_address
 
 MAX_VALUE_BYTES = 1 << 20
@@ -248,7 +248,7 @@
 
 async def serve(address: Address) -> None:
     """Serve until cancelled; prints the address first."""
-    face = HttpFace(Platform().handle, HttpLimits(body_bytes=MAX_VALUE_BYTES))
+    face = HttpListener(Platform().handle, HttpLimits(max_body_bytes=MAX_VALUE_BYTES))
     print(await face.listen(address), flush=True)  # noqa: T201
     await asyncio.Event().wait()
 
--- a/standins/target.py
+++ b/standins/target.py
@@ -11,7 +11,7 @@
 from dunlinsaddle.calls.client import HttpClient
 from dunlinsaddle.calls.connection import Answered
 from dunlinsaddle.calls.http import HttpLimits, HttpRequest, HttpResponse, json_response
-from dunlinsaddle.calls.listener import HttpFace
+from dunlinsaddle.calls.listener import HttpListener
 from dunlinsaddle.settings import Address, read_address
 
 ANNOUNCE_EVERY = 2.0
@@ -90,7 +90,7 @@
 
 async def serve(target: Target, address: Address) -> None:
     """Serve until SIGTERM; prints the address first."""
-    face = HttpFace(target.handle, HttpLimits(connections=100_000))
+    face = HttpListener(target.handle, HttpLimits(max_connections=100_000))
     listening = await face.listen(address)
     print(listening, flush=True)  # noqa: T201
     announcing = asyncio.create_task(target.announce(listening))
--- a/standins/ways.py
+++ b/standins/ways.py
@@ -18,7 +18,7 @@
 from dunlinsaddle.calls.frames import LinkLimits
 from dunlinsaddle.calls.http import HttpLimits, HttpRequest, HttpResponse
 from dunlinsaddle.calls.link import PeerLinks
-from dunlinsaddle.calls.listener import HttpFace
+from dunlinsaddle.calls.listener import HttpListener
 from dunlinsaddle.calls.messages import Call, Reply
 from dunlinsaddle.calls.peer_server import PeerServer
 from dunlinsaddle.errors import Outcome
@@ -59,7 +59,7 @@
     asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, stop.set)
     match way:
         case 'h11':
-            address = await HttpFace(_echo_http, HttpLimits()).listen(ANY)
+            address = await HttpListener(_echo_http, HttpLimits()).listen(ANY)
         case 'frames':
             address = await PeerServer(PEER_KEY, _echo_call, LinkLimits()).listen(ANY)
         case _:
--- a/tests/builders.py
+++ b/tests/builders.py
@@ -1,15 +1,10 @@
 """Builders of test data: each gives something valid, changed where the test says so."""
-
 import asyncio
 import io
 import json
 import logging
 from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
-from heapq import heappop, heappush
-from random import Random
-from typing import Any
-
 from dunlinsaddle.access.freshness import Freshness
 from dunlinsaddle.calls.call_state import PendingCall
 from dunlinsaddle.calls.messages import Call, Reply
@@ -28,7 +23,10 @@
 from dunlinsaddle.records.sync import RecordSync
 from dunlinsaddle.routes.follow import ConfigFollower
 from dunlinsaddle.settings import Address, Settings, read_settings
+from heapq import heappop, heappush
+from random import Random
 from tests.fakes.network import open_in_memory
+from typing import Any
 
 PEER_KEY = 'a-key-for-tests'
 OPERATOR_TOKEN = 'a-token-for-tests'
@@ -187,8 +185,8 @@
         'rule': 'read',
         'rank': 2,
         'slot': 5,
-        'budget': 10.0,
-        'allowance': 0,
+        'timeout': 10.0,
+        'retry_tokens': 0,
         'hop': 0,
         'idempotent': True,
         **changes,
--- a/tests/fakes/mesh.py
+++ b/tests/fakes/mesh.py
@@ -12,7 +12,7 @@
 from dunlinsaddle.calls.client import HttpClient
 from dunlinsaddle.calls.connection import Answered
 from dunlinsaddle.calls.http import HttpLimits, HttpRequest, HttpResponse
-from dunlinsaddle.calls.listener import HttpFace
+from dunlinsaddle.calls.listener import HttpListener
 from dunlinsaddle.mesh.node import MeshNode
 from dunlinsaddle.mesh.settings import Bounds, MeshSettings
 from dunlinsaddle.platform.store import Unavailable
@@ -62,7 +62,7 @@
         #: Of each request that arrived: when, and at which instance it began, by its service.
         self.arrivals: list[Arrival] = []
         self.node: MeshNode
-        self.face = HttpFace(self.handle, HttpLimits())
+        self.face = HttpListener(self.handle, HttpLimits())
 
     async def handle(self, req: HttpRequest) -> HttpResponse:
         request_id = req.header(b'request-id')
@@ -149,7 +149,7 @@
         self.stopped: set[str] = set()
         self.first_start = False
         self.rng = Random(seed)
-        self.client = HttpClient(open_ended=True)
+        self.client = HttpClient(allow_close_delimited=True)
         self.nodes: dict[str, MeshNode] = {}
         self.targets: dict[str, MeshTarget] = {}
         self._beats: list[asyncio.Task[None]] = []
--- a/tests/fakes/pair.py
+++ b/tests/fakes/pair.py
@@ -7,7 +7,7 @@
 from dunlinsaddle.calls.client import HttpClient
 from dunlinsaddle.calls.connection import Answered
 from dunlinsaddle.calls.http import HttpLimits, HttpRequest, HttpResponse
-from dunlinsaddle.calls.listener import HttpFace
+from dunlinsaddle.calls.listener import HttpListener
 from dunlinsaddle.calls.messages import Lost, NotSent
 from dunlinsaddle.node import Node
 from dunlinsaddle.records.changes import RECORDS
@@ -52,7 +52,7 @@
 
     async def start(self) -> 'Pair':
         await self.store.put(RECORDS, 'cut-orders', {'record': self.document}, 0)
-        face = HttpFace(self.target.handle, HttpLimits())
+        face = HttpListener(self.target.handle, HttpLimits())
         await face.listen(Address(HOST, 9000))
         self.entry = await self.start_node('menai-1', 100)
         self.beside = await self.start_node('bangor-1', 200)
--- a/tests/fakes/records.py
+++ b/tests/fakes/records.py
@@ -6,8 +6,8 @@
 
 from result import Err, Result
 
-from dunlinsaddle.calls.client import CONNECT_TIMEOUT
-from dunlinsaddle.calls.messages import RecordFrame, RecordsAnswer, RecordsAsk, RecordsPush
+from dunlinsaddle.calls.client import CONNECT_TIMEOUT_SECONDS
+from dunlinsaddle.calls.messages import RecordFrame, RecordsPush, RecordsRequest, RecordsResponse
 from dunlinsaddle.membership.view import Member, MemberView
 from dunlinsaddle.platform.store import Listing, Unavailable
 from dunlinsaddle.records.book import RecordBook
@@ -33,7 +33,7 @@
         if self.cut():
             self.store.calls += 1
             self.store.call_times.append(loop.time())
-            await asyncio.sleep(CONNECT_TIMEOUT)
+            await asyncio.sleep(CONNECT_TIMEOUT_SECONDS)
             return Err(Unavailable('no connection in time'))
         deadline = loop.time() + timeout + grace
         result = await self.store.watch(kind, since, timeout, grace)
@@ -66,13 +66,13 @@
         )
         self.task: asyncio.Task[None] | None = None
 
-    async def ask_records(
-        self, address: Address, ask: RecordsAsk, timeout: float
-    ) -> RecordsAnswer | None:
+    async def fetch_records(
+        self, address: Address, ask: RecordsRequest, timeout: float
+    ) -> RecordsResponse | None:
         node = await self._reach(address, timeout)
         return None if node is None else node.sync.take(ask)
 
-    async def tell(self, address: Address, push: RecordsPush) -> bool:
+    async def notify(self, address: Address, push: RecordsPush) -> bool:
         self.fleet.pushed.append(push)
         self.sent += 1
         if self.fleet.nodes[address].frozen:
--- a/tests/fakes/site.py
+++ b/tests/fakes/site.py
@@ -11,7 +11,7 @@
 from dunlinsaddle.calls.client import HttpClient
 from dunlinsaddle.calls.connection import Answered
 from dunlinsaddle.calls.http import HttpLimits, HttpRequest, HttpResponse
-from dunlinsaddle.calls.listener import HttpFace
+from dunlinsaddle.calls.listener import HttpListener
 from dunlinsaddle.calls.messages import Lost, Reply
 from dunlinsaddle.membership.roster import ROSTERS
 from dunlinsaddle.node import Node
@@ -53,7 +53,7 @@
         self.runs: Counter[str] = Counter()  #: by the id of the root request
         self.cancelled = 0
         self.node: Node
-        self.face = HttpFace(self.handle, HttpLimits())
+        self.face = HttpListener(self.handle, HttpLimits())
 
     async def handle(self, req: HttpRequest) -> HttpResponse:
         self.runs[req.header(b'dunlinsaddle-request')] += 1
--- a/tests/fakes/target.py
+++ b/tests/fakes/target.py
@@ -7,14 +7,14 @@
 
 OK = b'HTTP/1.1 200 OK\r\ncontent-length: %d\r\n\r\n%s'
 
-Script = Callable[['Conversation', bytes], Awaitable[None]]
+Script = Callable[['ScriptedConnection', bytes], Awaitable[None]]
 
 
 def ok(body: bytes) -> bytes:
     return OK % (len(body), body)
 
 
-class Conversation:
+class ScriptedConnection:
     """One accepted connection: its number, and a way to write or end."""
 
     def __init__(self, number: int, writer: asyncio.StreamWriter) -> None:
@@ -44,7 +44,7 @@
 
     async def _accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.connections += 1
-        conversation = Conversation(self.connections, writer)
+        conversation = ScriptedConnection(self.connections, writer)
         try:
             while data := await reader.read(65536):
                 self.requests.append(data)
--- a/tests/once_cluster.py
+++ b/tests/once_cluster.py
@@ -1,14 +1,7 @@
 """Nodes that share a platform and fake targets: real gates and keepers, no sockets."""
-
 import asyncio
-from collections import Counter
-from random import Random
-from types import SimpleNamespace
-from typing import Any
-
 import msgspec
-from result import Err
-
+from collections import Counter
 from dunlinsaddle.calls.call_state import PendingCall, read_call_frame
 from dunlinsaddle.calls.handover import hand_over_keys, take_over_keys
 from dunlinsaddle.calls.idempotency import IdempotencyRouter
@@ -22,8 +15,12 @@
 from dunlinsaddle.policy.route import Router
 from dunlinsaddle.settings import Address
 from dunlinsaddle.stats import Stats
+from random import Random
+from result import Err
 from tests.builders import build_member, build_release
 from tests.fakes.store import FakeStore
+from types import SimpleNamespace
+from typing import Any
 
 SERVICE = 'cut-orders'
 EPOCH_MS = 1_750_000_000_000
@@ -69,7 +66,7 @@
         self.leaving = False
         for other in NAMES:
             self.view.take(cluster.member(other))
-        links: Any = SimpleNamespace(call=self.call, give_keys=self.give_keys)
+        links: Any = SimpleNamespace(call=self.call, push_keys=self.push_keys)
         self.links = links
         executor: Any = SimpleNamespace(execute=self.execute)
         self.gate = IdempotencyRouter(
@@ -89,7 +86,7 @@
             return NotSent('no link')
         if peer.name in self.cluster.frozen:
             return Lost('no answer', ErrorKind.DEADLINE_EXCEEDED)
-        if frame.owned:
+        if frame.owner_approved:
             return await peer.execute(read_call_frame(frame, self.loop.time()))
         reply = await peer.gate.handle_peer_call(frame)
         if self.cluster.lose_replies > 0:
@@ -97,7 +94,7 @@
             return Lost('the link ended')
         return reply
 
-    async def give_keys(self, address: Address, push: KeysPush, timeout: float) -> bool:
+    async def push_keys(self, address: Address, push: KeysPush, timeout: float) -> bool:
         peer = self.cluster.nodes.get(address.host)
         reached = frozenset((self.name, address.host)) not in self.cluster.cuts
         if peer is None or not reached or address.host in self.cluster.frozen:
@@ -117,7 +114,7 @@
 
     async def execute(self, call: PendingCall) -> Reply:
         reply = await self.run_target(call.ctx.key)
-        reply.unspent = call.allowance.tokens
+        reply.unspent_retry_tokens = call.allowance.tokens
         return reply
 
     async def run_target(self, key: str) -> Reply:
--- a/tests/store_case.py
+++ b/tests/store_case.py
@@ -2,7 +2,7 @@
 
 from dunlinsaddle.calls.client import HttpClient
 from dunlinsaddle.calls.http import HttpLimits
-from dunlinsaddle.calls.listener import HttpFace
+from dunlinsaddle.calls.listener import HttpListener
 from dunlinsaddle.platform.client import HttpObjectStore
 from dunlinsaddle.settings import Address
 from standins.platform import MAX_VALUE_BYTES, Platform
@@ -19,8 +19,8 @@
 
         async def run():
             platform = Platform()
-            limits = HttpLimits(body_bytes=2 * MAX_VALUE_BYTES)
-            face = HttpFace(handler or platform.handle, limits)
+            limits = HttpLimits(max_body_bytes=2 * MAX_VALUE_BYTES)
+            face = HttpListener(handler or platform.handle, limits)
             await face.listen(ADDRESS)
             client = HttpClient()
             try:
--- a/tests/test_flood.py
+++ b/tests/test_accept_flood.py
@@ -5,7 +5,7 @@
 from testtools import TestCase
 
 from dunlinsaddle.calls.http import HttpLimits, HttpResponse
-from dunlinsaddle.calls.listener import HttpFace
+from dunlinsaddle.calls.listener import HttpListener
 from dunlinsaddle.settings import Address
 
 WAITING = 300
@@ -24,7 +24,7 @@
             return HttpResponse(200, [], b'')
 
         async def scenario() -> list[int]:
-            face = HttpFace(handle, HttpLimits())
+            face = HttpListener(handle, HttpLimits())
             address = await face.listen(Address('127.0.0.1', 0))
             waiting = [socket.create_connection(address, timeout=5) for _ in range(WAITING)]
             seen = [len(face.connections)]
--- a/tests/test_said.py
+++ b/tests/test_advertised_state.py
@@ -3,7 +3,7 @@
 from testtools import TestCase
 
 from dunlinsaddle.calls.http import HttpResponse
-from dunlinsaddle.calls.target import Said
+from dunlinsaddle.calls.target import AdvertisedState
 from dunlinsaddle.platform.requests import read_said
 
 
@@ -18,10 +18,10 @@
 
     def test_a_rate_and_leaving_are_read_of_answers_and_refusals(self):
         headers = [(b'server-limit', b'7.5'), (b'server-leaving', b'1')]
-        self.assertEqual(Said(7.5, leaving=True), self.said(*headers))
+        self.assertEqual(AdvertisedState(7.5, leaving=True), self.said(*headers))
         refused = self.said(*headers, status=503, own=(b'not-executed', b'1'))
-        self.assertEqual(Said(7.5, leaving=True), refused)
-        self.assertEqual(Said(), self.said())
+        self.assertEqual(AdvertisedState(7.5, leaving=True), refused)
+        self.assertEqual(AdvertisedState(), self.said())
 
     def test_a_rate_that_is_no_decimal_number_says_nothing(self):
         for text in (b'', b'abc', b'-1', b'nan', b'inf', b'1e999', b'1,5', b'7 ', b'9' * 400):
@@ -30,7 +30,7 @@
         self.assertEqual([0.0, 13.0, 0.5], [self.rate(t).rate for t in (b'0', b'13', b'0.5')])
 
     def test_of_several_rates_the_lowest_counts(self):
-        self.assertEqual(Said(3.0), self.rate(b'7', b'3', b'abc'))
+        self.assertEqual(AdvertisedState(3.0), self.rate(b'7', b'3', b'abc'))
 
     def test_only_the_targets_own_unchanged_answer_speaks_for_it(self):
         rate = (b'server-limit', b'1')
--- a/tests/test_client.py
+++ b/tests/test_client.py
@@ -193,7 +193,7 @@
         async def use(client, target):
             req = HttpRequest('GET', '/', [], b'', '')
             return await client.send(
-                TARGET, req, 5, belongs=lambda headers: (b'id', b'2') in headers
+                TARGET, req, 5, matches_request=lambda headers: (b'id', b'2') in headers
             )
 
         self.assertEqual(b'new', self.with_target(script, use).response.body)
@@ -206,7 +206,7 @@
 
         async def use(client, target):
             req = HttpRequest('GET', '/', [], b'', '')
-            trusting = HttpClient(open_ended=True)
+            trusting = HttpClient(allow_close_delimited=True)
             return await client.send(TARGET, req, 5), await trusting.send(TARGET, req, 5)
 
         strict, trusting = self.with_target(script, use)
@@ -250,7 +250,7 @@
         """Send one request that is overdue while later ones are answered."""
         asked = []
 
-        def may_repeat():
+        def allow_resend():
             asked.append(allowed)
             return allowed
 
@@ -258,9 +258,11 @@
             loop = asyncio.get_running_loop()
             await client.send(TARGET, get(), 10)
             began = loop.time()
-            overdue = loop.create_task(client.send(TARGET, get('/x'), 10, may_repeat=may_repeat))
+            overdue = loop.create_task(
+                client.send(TARGET, get('/x'), 10, allow_resend=allow_resend)
+            )
             await asyncio.sleep(0.2)
-            await client.send(TARGET, get(), 10, may_repeat=may_repeat)
+            await client.send(TARGET, get(), 10, allow_resend=allow_resend)
             return await overdue, loop.time() - began, len(asked)
 
         return self.with_target(script, use)
@@ -297,7 +299,7 @@
 
         async def use(client, target):
             await client.send(TARGET, get(), 10)
-            sends = (client.send(TARGET, get(), 10, may_repeat=lambda: True) for _ in range(3))
+            sends = (client.send(TARGET, get(), 10, allow_resend=lambda: True) for _ in range(3))
             return await asyncio.gather(*sends), target.requests
 
         exchanges, requests = self.with_target(script, use)
@@ -319,7 +321,7 @@
             release = loop.create_task(client.send(TARGET, get('/release'), 10))
             for _ in range(20):
                 await asyncio.sleep(0.1)
-                await client.send(TARGET, get(), 10, may_repeat=lambda: True)
+                await client.send(TARGET, get(), 10, allow_resend=lambda: True)
             return await release
 
         self.assertIsInstance(self.with_target(script, use), Answered)
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -3,7 +3,7 @@
 import json
 import os
 
-from dunlinsaddle.calls.decisions import LINES_A_SECOND, Event
+from dunlinsaddle.calls.decisions import MAX_LINES_PER_SECOND, Event
 from dunlinsaddle.logs import LINES_HELD, PatientOutput, start_logs
 from tests.clock import PausedClockTest
 from tests.fakes.mesh import Mesh
@@ -86,7 +86,7 @@
 
         _, lines = self.logged(scenario)
         unrouted = self.of(lines, Event.UNROUTED)
-        self.assertLessEqual(len(unrouted), 2 * LINES_A_SECOND[Event.UNROUTED] + 1)
+        self.assertLessEqual(len(unrouted), 2 * MAX_LINES_PER_SECOND[Event.UNROUTED] + 1)
         omitted = sum(line['counts'][Event.UNROUTED] for line in self.of(lines, Event.OMITTED))
         self.assertEqual(301, len(unrouted) + omitted)
 
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -1,6 +1,5 @@
-import asyncio
-from random import Random
 
+import asyncio
 from dunlinsaddle.calls.call_state import PendingCall, RunningCalls
 from dunlinsaddle.calls.client import HttpClient
 from dunlinsaddle.calls.connection import Answered
@@ -17,6 +16,7 @@
 from dunlinsaddle.policy.route import Router
 from dunlinsaddle.settings import Address
 from dunlinsaddle.stats import Stats
+from random import Random
 from tests.builders import build_member, build_work
 from tests.clock import PausedClockTest
 
@@ -45,10 +45,10 @@
 class DeadTarget(HttpClient):
     """A target that dies of every call and takes no connection afterwards."""
 
-    async def send(self, address, req, timeout, *, may_repeat=None, belongs=None):
+    async def send(self, address, req, timeout, *, allow_resend=None, matches_request=None):
         return Lost('the connection ended', ErrorKind.TARGET_LOST)
 
-    async def reaches(self, address):
+    async def can_connect(self, address):
         return False
 
 
@@ -57,7 +57,7 @@
 
     running: RunningCalls
 
-    async def send(self, address, req, timeout, *, may_repeat=None, belongs=None):
+    async def send(self, address, req, timeout, *, allow_resend=None, matches_request=None):
         running_call = self.running.find(dict(req.headers)[b'dunlinsaddle-call'].decode())
         running_call.downstream_retry_after = 2.0
         return Answered(HttpResponse(502, [], b''))
@@ -66,7 +66,7 @@
 class LiveTarget(HttpClient):
     """A target that answers every call."""
 
-    async def send(self, address, req, timeout, *, may_repeat=None, belongs=None):
+    async def send(self, address, req, timeout, *, allow_resend=None, matches_request=None):
         await asyncio.sleep(0.01)
         return Answered(HttpResponse(200, [], b'ok'))
 
--- a/tests/test_fuzz_faces.py
+++ b/tests/test_fuzz_faces.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from dunlinsaddle.calls.frames import Role, sign
+from dunlinsaddle.calls.frames import Role, make_proof
 from dunlinsaddle.calls.messages import Challenge, Frame, Hello, Ping, Welcome
 from dunlinsaddle.records.changes import RECORDS
 from tests.builders import PEER_KEY, build_call, build_reply
@@ -163,8 +163,12 @@
     def test_peers_face_without_the_key(self):
         # Random bytes, absurd lengths, wrong keys, Hello frames recorded on another link:
         # no call behind them is run, also not one in the same piece of data.
-        recorded = Hello('menai-1', sign(PEER_KEY, Role.DIALLING, b'n' * 16, 'menai-1'), b'm' * 16)
-        wrong = Hello('menai-1', sign('wrong', Role.DIALLING, b'n' * 16, 'menai-1'), b'm' * 16)
+        recorded = Hello(
+            'menai-1', make_proof(PEER_KEY, Role.DIALLING, b'n' * 16, 'menai-1'), b'm' * 16
+        )
+        wrong = Hello(
+            'menai-1', make_proof('wrong', Role.DIALLING, b'n' * 16, 'menai-1'), b'm' * 16
+        )
 
         def make(rng):
             start = [
@@ -189,11 +193,11 @@
             {'rank': 99},
             {'rank': -1},
             {'slot': 10**6},
-            {'budget': -1.0},
-            {'budget': float('nan')},
-            {'budget': float('inf')},
-            {'allowance': 10**9},
-            {'allowance': -1},
+            {'timeout': -1.0},
+            {'timeout': float('nan')},
+            {'timeout': float('inf')},
+            {'retry_tokens': 10**9},
+            {'retry_tokens': -1},
             {'hop': 10**9},
             {'headers': [[1, 2]]},
             {'method': 7},
@@ -204,7 +208,7 @@
             size = int.from_bytes(await reader.readexactly(4), 'big')
             challenge = msgspec.msgpack.decode(await reader.readexactly(size), type=Frame)
             assert isinstance(challenge, Challenge)
-            proof = sign(PEER_KEY, Role.DIALLING, challenge.nonce, 'menai-1')
+            proof = make_proof(PEER_KEY, Role.DIALLING, challenge.nonce, 'menai-1')
             writer.write(frame(Hello('menai-1', proof, b'm' * 16)))
             await reader.readexactly(4)
 
--- a/tests/test_wire.py
+++ b/tests/test_http_codec.py
@@ -1,12 +1,12 @@
 from testtools import TestCase
 from testtools.matchers import raises
 
-from dunlinsaddle.calls.wire import (
+from dunlinsaddle.calls.http_codec import (
     BodyTooLarge,
-    Malformed,
+    HeadTooLarge,
+    MalformedMessage,
     RequestReader,
     ResponseReader,
-    TooLarge,
     encode_request,
     encode_response,
 )
@@ -34,8 +34,8 @@
 
     def test_bounds(self):
         big = b'x: ' + b'y' * 2000 + b'\r\n\r\n'
-        self.assertThat(lambda: self.read(HEAD + big), raises(TooLarge))
-        self.assertThat(lambda: self.read(HEAD + b'x: ', *[b'y' * 500] * 5), raises(TooLarge))
+        self.assertThat(lambda: self.read(HEAD + big), raises(HeadTooLarge))
+        self.assertThat(lambda: self.read(HEAD + b'x: ', *[b'y' * 500] * 5), raises(HeadTooLarge))
         body = b'Content-Length: 101\r\n\r\n'
         self.assertThat(lambda: self.read(HEAD + body), raises(BodyTooLarge))
         chunked = b'Transfer-Encoding: chunked\r\n\r\n65\r\n' + b'z' * 101
@@ -43,7 +43,7 @@
 
     def test_a_request_without_exactly_one_host_is_refused(self):
         for head in (b'GET / HTTP/1.1\r\n', b'GET / HTTP/1.1\r\nhost: a\r\nhost: b\r\n'):
-            self.assertThat(lambda head=head: self.read(head + b'\r\n'), raises(Malformed))
+            self.assertThat(lambda head=head: self.read(head + b'\r\n'), raises(MalformedMessage))
 
     def test_an_upgrade_is_not_taken_up(self):
         data = b'GET / HTTP/1.1\r\nhost: a\r\nconnection: upgrade\r\nupgrade: x\r\n\r\njunk'
--- a/tests/test_http_face.py
+++ b/tests/test_http_listener.py
@@ -1,12 +1,12 @@
 import asyncio
 
 from dunlinsaddle.calls.http import HttpLimits, HttpResponse, forwarded_headers
-from dunlinsaddle.calls.listener import HttpFace
+from dunlinsaddle.calls.listener import HttpListener
 from dunlinsaddle.settings import Address
 from tests.clock import PausedClockTest
 
 FACE = Address('127.0.0.1', 80)
-LIMITS = HttpLimits(header_bytes=4096, body_bytes=1000, header_timeout=10, idle_timeout=75)
+LIMITS = HttpLimits(max_header_bytes=4096, max_body_bytes=1000, header_timeout=10, idle_timeout=75)
 
 
 class FaceTest(PausedClockTest):
@@ -27,7 +27,7 @@
 
     def with_face(self, use):
         async def scenario():
-            face = HttpFace(self.handle, LIMITS)
+            face = HttpListener(self.handle, LIMITS)
             await face.listen(FACE)
             reader, writer = await asyncio.open_connection(FACE.host, FACE.port)
             try:
@@ -201,7 +201,7 @@
             return HttpResponse(200, [], req.path.encode())
 
         async def scenario():
-            face = HttpFace(handle, LIMITS, pipeline=8)
+            face = HttpListener(handle, LIMITS, pipeline=8)
             await face.listen(FACE)
             reader, writer = await asyncio.open_connection(FACE.host, FACE.port)
             loop = asyncio.get_running_loop()
@@ -228,7 +228,7 @@
         # The face begins to close while three requests of one connection run. Each of them
         # may have been passed on, so each is answered; the last answer tells of the closing.
         async def scenario():
-            face = HttpFace(self.handle, LIMITS, pipeline=8)
+            face = HttpListener(self.handle, LIMITS, pipeline=8)
             await face.listen(FACE)
             reader, writer = await asyncio.open_connection(FACE.host, FACE.port)
             for seconds in (b'1', b'2', b'3'):
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -54,7 +54,7 @@
 
         async def scenario(mesh, callers):
             await self.leave(mesh, callers)
-            mesh.nodes['t'].target.note_refused()
+            mesh.nodes['t'].target.record_connection_refused()
             await callers.ask_for(6.0)
             await callers.end()
             return self.late(mesh, callers)
--- a/tests/test_link.py
+++ b/tests/test_link.py
@@ -3,7 +3,7 @@
 
 import msgspec
 
-from dunlinsaddle.calls.frames import LinkLimits, Role, sign
+from dunlinsaddle.calls.frames import LinkLimits, Role, make_proof
 from dunlinsaddle.calls.link import PeerLinks
 from dunlinsaddle.calls.messages import (
     Call,
@@ -87,7 +87,7 @@
         async def use(links, peer):
             loop = asyncio.get_running_loop()
             began = loop.time()
-            first = await links.call(PEER, build_call(path='3', budget=1.0))
+            first = await links.call(PEER, build_call(path='3', timeout=1.0))
             elapsed = loop.time() - began
             second = await links.call(PEER, build_call(path='3', body=b'b'))
             return first, elapsed, second, peer.cancelled
@@ -104,7 +104,7 @@
         async def answer(reader, writer):
             writer.write(frame(Challenge(b'n' * 16)))
             hello = msgspec.msgpack.decode((await read_frame(reader)), type=Frame)
-            writer.write(frame(Welcome(sign(PEER_KEY, Role.LISTENING, hello.nonce, ''))))
+            writer.write(frame(Welcome(make_proof(PEER_KEY, Role.LISTENING, hello.nonce, ''))))
             for _ in range(2):
                 call = msgspec.msgpack.decode(await read_frame(reader), type=Frame)
                 reply = build_reply(call.body, id=call.id)
@@ -208,9 +208,9 @@
             await links.call(BETWEEN, build_call(path='0'))
             await asyncio.sleep(1)
             (link,) = peer.server.links
-            heard = link.heard_at
+            heard = link.last_received_at
             await asyncio.sleep(60)
-            return link.heard_at - heard
+            return link.last_received_at - heard
 
         self.assertEqual(0, self.through_relay(use))
 
@@ -250,7 +250,7 @@
             await asyncio.start_server(lambda r, w: asyncio.sleep(99), PEER.host, PEER.port)
             loop = asyncio.get_running_loop()
             began = loop.time()
-            call = build_call(budget=0.2)
+            call = build_call(timeout=0.2)
             exchange = await PeerLinks(PEER_KEY, 'menai-1', LIMITS).call(PEER, call)
             return exchange, loop.time() - began
 
@@ -266,7 +266,7 @@
         async def use(links, peer):
             reader, writer = await asyncio.open_connection(PEER.host, PEER.port)
             challenge = msgspec.msgpack.decode(await read_frame(reader), type=Frame)
-            proof = sign(PEER_KEY, Role.DIALLING, challenge.nonce, 'menai-1')
+            proof = make_proof(PEER_KEY, Role.DIALLING, challenge.nonce, 'menai-1')
             writer.write(frame(Hello('menai-1', proof, b'm' * 16)))
             await read_frame(reader)
             most = 0
@@ -278,7 +278,7 @@
             return most, len(peer.server.links)
 
         most, left = self.with_peer(use)
-        self.assertLess(most, 3 * LIMITS.body_bytes)
+        self.assertLess(most, 3 * LIMITS.max_body_bytes)
         self.assertEqual(0, left)
 
     def test_a_peer_that_takes_no_calls_gets_no_more(self):
@@ -304,11 +304,11 @@
         # the kernel, would spend ten times what a node may send for control.
         async def use(links, peer):
             await links.call(PEER, build_call(path='0'))
-            await asyncio.sleep(2 * LIMITS.probe_every)
+            await asyncio.sleep(2 * LIMITS.probe_interval)
             ends = [*links._links.values(), *peer.server.links]
-            heard = [end.heard_at for end in ends]
+            heard = [end.last_received_at for end in ends]
             await asyncio.sleep(50)
-            return len(ends), [end.heard_at for end in ends] == heard
+            return len(ends), [end.last_received_at for end in ends] == heard
 
         self.assertEqual((2, True), self.with_peer(use))
 
--- a/tests/test_mesh_failures.py
+++ b/tests/test_mesh_failures.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from dunlinsaddle.calls.http import HttpLimits, HttpResponse
-from dunlinsaddle.calls.listener import HttpFace
+from dunlinsaddle.calls.listener import HttpListener
 from tests.mesh_case import MeshTest
 
 
@@ -135,7 +135,7 @@
                     deaths.append(target)
                     target.face.close()
                     await asyncio.sleep(2.0)
-                    target.face = HttpFace(target.handle, HttpLimits())
+                    target.face = HttpListener(target.handle, HttpLimits())
                     await target.face.listen(target.node.settings.target)
                     return target.signed(req)
 
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -3,7 +3,7 @@
 from testtools import TestCase
 
 from dunlinsaddle.calls.http import HttpLimits, HttpResponse
-from dunlinsaddle.calls.listener import HttpFace
+from dunlinsaddle.calls.listener import HttpListener
 from dunlinsaddle.metrics import Metrics, observe_stats
 from dunlinsaddle.settings import Address
 from dunlinsaddle.stats import CallLabel, Stats
@@ -46,7 +46,7 @@
                 bodies.put_nowait((req.path, req.body))
                 return HttpResponse(200, [], b'')
 
-            face = HttpFace(collect, HttpLimits())
+            face = HttpListener(collect, HttpLimits())
             address = await face.listen(Address('127.0.0.1', 0))
             stats = Stats()
             stats.retries = 7
--- a/tests/test_named_rate.py
+++ b/tests/test_named_rate.py
@@ -3,8 +3,8 @@
 import asyncio
 
 from dunlinsaddle.calls.decisions import DecisionLog
-from dunlinsaddle.calls.messages import Told
-from dunlinsaddle.calls.target import LocalTarget, Said
+from dunlinsaddle.calls.messages import RelayedTargetState
+from dunlinsaddle.calls.target import AdvertisedState, LocalTarget
 from dunlinsaddle.mesh.news import TargetNews
 from dunlinsaddle.policy.slots import SlotAdmission
 from dunlinsaddle.settings import Address
@@ -142,7 +142,7 @@
             began = loop.time()
             for came, sent, rate in steps:
                 await asyncio.sleep(began + came - loop.time())
-                news.hear('q', began + sent, Said(rate))
+                news.hear('q', began + sent, AdvertisedState(rate))
                 held.append(news.said.rate)
             return held
 
@@ -163,10 +163,10 @@
             sent_at = asyncio.get_running_loop().time()
             await asyncio.sleep(1)
             news.restarted()
-            news.hear('q', sent_at, Said(5.0))
+            news.hear('q', sent_at, AdvertisedState(5.0))
             return news.said
 
-        self.assertEqual(Said(), self.run_paused(scenario()))
+        self.assertEqual(AdvertisedState(), self.run_paused(scenario()))
 
     def test_a_node_that_was_started_again_holds_the_rate_that_entries_were_told(self):
         """Its first calls go to a target in need before an answer says so; later its word holds."""
@@ -175,14 +175,14 @@
             target = LocalTarget()
             news = TargetNews(target, SlotAdmission(), DecisionLog(build_logger()))
             target.on_start = news.restarted
-            target.begin('deep', Address('h', 1), 'i-1', 7)
+            target.start_incarnation('deep', Address('h', 1), 'i-1', 7)
             held = []
-            for told in (Told('i-1/6', 3.0), Told('i-1/7', 4.0)):
+            for told in (RelayedTargetState('i-1/6', 3.0), RelayedTargetState('i-1/7', 4.0)):
                 news.recall('q', told)
                 held.append(news.said.rate)
             await asyncio.sleep(1)
-            news.hear('q', asyncio.get_running_loop().time(), Said(9.0))
-            news.recall('q', Told('i-1/7', 4.0))
+            news.hear('q', asyncio.get_running_loop().time(), AdvertisedState(9.0))
+            news.recall('q', RelayedTargetState('i-1/7', 4.0))
             return [*held, news.said.rate]
 
         self.assertEqual([None, 4.0, 9.0], self.run_paused(scenario()))
--- a/tests/test_organisations.py
+++ b/tests/test_organisations.py
@@ -1,10 +1,6 @@
 """Who may call: keys of organisations, and calls of targets, which carry none."""
-
 import asyncio
 import json
-
-from testtools import TestCase
-
 from dunlinsaddle.calls.connection import Answered
 from dunlinsaddle.calls.http import HttpRequest
 from dunlinsaddle.platform.configuration import read_configuration
@@ -12,6 +8,7 @@
 from tests.builders import build_configuration, build_route, build_tenant
 from tests.fakes.mesh import BOUNDS
 from tests.mesh_case import MeshTest
+from testtools import TestCase
 
 SECRET = 'ruddedev3nax7u27gxpr'
 TENANTS = [build_tenant('acme', SECRET, priority=1), build_tenant('zeta', 'zeta-key')]
@@ -239,7 +236,7 @@
         async def scenario(mesh):
             for name in 'bc':
                 mesh.targets[name].beating = False
-                mesh.nodes[name].target.withdraw()
+                mesh.nodes[name].target.clear()
             refused = await self.flood(mesh, 6)
             await asyncio.sleep(0.1)
             tokens = [node.ledger.tokens_left().get('acme') for node in mesh.nodes.values()]
--- a/tests/test_sync.py
+++ b/tests/test_sync.py
@@ -1,7 +1,7 @@
 import asyncio
 from random import Random
 
-from dunlinsaddle.calls.messages import RecordsAsk, RecordsPush
+from dunlinsaddle.calls.messages import RecordsPush, RecordsRequest
 from dunlinsaddle.membership.roster import ROSTERS
 from dunlinsaddle.membership.view import State
 from dunlinsaddle.node import Node
@@ -311,9 +311,9 @@
                 doc = build_document(f'service-{number}', requests=rules)
                 await fleet.store.put(RECORDS, doc['service'], {'record': doc}, 0)
             await one.sync._watch(0)
-            part = one.sync.take(RecordsAsk(0, 0))
+            part = one.sync.take(RecordsRequest(0, 0))
             await two.sync._pull(one.member)
-            return len(part.entries), part.more, two.book.complete_revision
+            return len(part.entries), part.has_more, two.book.complete_revision
 
         count, more, revision = self.run_paused(scenario())
         self.assertLess(count * 15_000, 2 * CHUNK_BYTES)
--- a/tests/test_target.py
+++ b/tests/test_target.py
@@ -26,7 +26,7 @@
         self.assertTrue(self.target.draining)
 
     def test_heartbeat_does_not_end_the_stop_of_the_node(self):
-        self.target.leaving = True
+        self.target.node_draining = True
         self.target.announce('cut-orders', ELSEWHERE)
         self.assertTrue(self.target.draining)
 
@@ -42,6 +42,6 @@
 
     def test_target_that_comes_back_at_the_same_port_is_a_new_one(self):
         self.target.drain()
-        self.target.note_refused()
+        self.target.record_connection_refused()
         self.target.announce('cut-orders', HERE)
         self.assertEqual((2, False), (self.starts, self.target.draining))
