--- a/tests/fakes/relay.py
+++ b/tests/fakes/relay.py
@@ -1,4 +1,4 @@
-"""What stands between two ends: passes bytes on, and can forget the connections it has."""
+"""TCP relay that can silently drop its connections, as a middlebox does."""
 
 import asyncio
 
@@ -6,40 +6,43 @@
 
 
 class Relay:
-    """Passes connections on to an address; forgotten ones stay open and go silent."""
+    """Forwards connections to an address; dropped ones stay open but forward nothing."""
 
-    def __init__(self, to: Address) -> None:
-        self.to = to
+    def __init__(self, target_address: Address) -> None:
+        self.target_address = target_address
         self.accepted = 0
-        self.remembered: set[int] = set()
+        self.forwarding: set[int] = set()
         self.writers: list[asyncio.StreamWriter] = []
 
     async def listen(self, address: Address) -> 'Relay':
         self.server = await asyncio.start_server(self._accept, address.host, address.port)
         return self
 
-    def forget(self) -> None:
-        """Pass nothing on any more on the connections of now."""
-        self.remembered.clear()
+    def drop_connections(self) -> None:
+        """Stop forwarding on all current connections without closing them."""
+        self.forwarding.clear()
 
     async def _accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.accepted += 1
         number = self.accepted
-        self.remembered.add(number)
-        far_reader, far_writer = await asyncio.open_connection(self.to.host, self.to.port)
-        self.writers += [writer, far_writer]
+        self.forwarding.add(number)
+        target_reader, target_writer = await asyncio.open_connection(
+            self.target_address.host, self.target_address.port
+        )
+        self.writers += [writer, target_writer]
         await asyncio.gather(
-            self._pass(number, reader, far_writer), self._pass(number, far_reader, writer)
+            self._forward(number, reader, target_writer),
+            self._forward(number, target_reader, writer),
         )
 
-    async def _pass(
+    async def _forward(
         self, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         try:
             while data := await reader.read(65536):
-                if number in self.remembered:
+                if number in self.forwarding:
                     writer.write(data)
-            if number in self.remembered:
+            if number in self.forwarding:
                 writer.close()
         except ConnectionError:
             writer.close()
--- a/tests/test_accept_flood.py
+++ b/tests/test_accept_flood.py
@@ -8,33 +8,33 @@
 from dunlinsaddle.calls.listener import HttpListener
 from dunlinsaddle.settings import Address
 
-WAITING = 300
-AT_ONCE = 16
+CONNECTIONS = 300
+MAX_ACCEPTS_PER_EVENT = 16
 
 
-class FloodTest(TestCase):
-    """Callers open thousands of connections to one node, which stays busy but alive.
+class AcceptFloodTest(TestCase):
+    """Callers open thousands of connections to one node, which must stay responsive.
 
-    The loop accepted up to a thousand of them in one go. Probes of other nodes waited in
-    their socket meanwhile, the node was suspected and held for dead, and its work went away.
+    If the event loop accepts up to a thousand of them at once, probes of other nodes wait in
+    their socket meanwhile. The node is then suspected, declared dead, and gets no more work.
     """
 
-    def test_few_connections_are_accepted_between_two_other_events(self):
+    def test_few_connections_are_accepted_per_loop_iteration(self):
         async def handle(req):
             return HttpResponse(200, [], b'')
 
         async def scenario() -> list[int]:
-            face = HttpListener(handle, HttpLimits())
-            address = await face.listen(Address('127.0.0.1', 0))
-            waiting = [socket.create_connection(address, timeout=5) for _ in range(WAITING)]
-            seen = [len(face.connections)]
-            while seen[-1] < WAITING:
+            listener = HttpListener(handle, HttpLimits())
+            address = await listener.listen(Address('127.0.0.1', 0))
+            clients = [socket.create_connection(address, timeout=5) for _ in range(CONNECTIONS)]
+            counts = [len(listener.connections)]
+            while counts[-1] < CONNECTIONS:
                 await asyncio.sleep(0)
-                seen.append(len(face.connections))
-            for sock in waiting:
+                counts.append(len(listener.connections))
+            for sock in clients:
                 sock.close()
-            face.close()
-            return seen
+            listener.close()
+            return counts
 
-        seen = asyncio.run(asyncio.wait_for(scenario(), 20))
-        self.assertLessEqual(max(b - a for a, b in pairwise(seen)), AT_ONCE)
+        counts = asyncio.run(asyncio.wait_for(scenario(), 20))
+        self.assertLessEqual(max(b - a for a, b in pairwise(counts)), MAX_ACCEPTS_PER_EVENT)
--- a/tests/test_client.py
+++ b/tests/test_client.py
@@ -8,12 +8,12 @@
 from dunlinsaddle.platform.client import CALL_TIMEOUT, HttpObjectStore
 from dunlinsaddle.settings import Address
 from tests.clock import PausedClockTest
-from tests.fakes.target import ScriptedTarget, ok
+from tests.fakes.target import ScriptedTarget, ok_response
 
 TARGET = Address('127.0.0.1', 80)
 
 
-def get(path='/'):
+def get_request(path='/'):
     return HttpRequest('GET', path, [], b'', '')
 
 
@@ -22,7 +22,7 @@
 
 
 class ClientTest(PausedClockTest):
-    def with_target(self, script, use):
+    def run_with_target(self, script, use):
         async def scenario():
             target = await ScriptedTarget(script).listen(TARGET)
             client = HttpClient(max_body_bytes=1000)
@@ -33,162 +33,161 @@
 
         return self.run_paused(scenario())
 
-    def exchanges_for(self, answer, *, end=False, method='GET', count=1):
-        async def script(conversation, data):
-            conversation.write(answer)
-            if end:
-                conversation.end()
+    def results_for(self, response, *, close=False, method='GET', count=1):
+        async def script(connection, data):
+            connection.write(response)
+            if close:
+                connection.close()
 
         async def use(client, target):
             req = HttpRequest(method, '/', [], b'', '')
             return [await client.send(TARGET, req, 5) for _ in range(count)]
 
-        return self.with_target(script, use)
+        return self.run_with_target(script, use)
 
-    def assert_lost(self, kind, exchange):
-        self.assertIsInstance(exchange, Lost)
-        self.assertEqual(kind, exchange.kind)
+    def assert_lost(self, kind, result):
+        self.assertIsInstance(result, Lost)
+        self.assertEqual(kind, result.kind)
 
 
-class WholeAnswerTest(ClientTest):
-    def test_a_doubled_answer_is_not_read_as_the_next_one(self):
-        # The target writes its first answer twice in one piece. The second caller, on the
-        # same kept connection, must not be given the first caller's answer: the bytes
-        # behind a whole answer end the connection.
-        async def script(conversation, data):
+class CompleteResponseTest(ClientTest):
+    def test_a_duplicate_response_is_not_read_as_the_next_one(self):
+        # The target writes its first response twice in one piece. The next request must not
+        # get that response: bytes after a complete response end the connection.
+        async def script(connection, data):
             times = 2 if path_of(data) == b'/a' else 1
-            conversation.write(ok(path_of(data)) * times)
+            connection.write(ok_response(path_of(data)) * times)
 
         async def use(client, target):
-            first = await client.send(TARGET, get('/a'), 5)
-            second = await client.send(TARGET, get('/b'), 5)
+            first = await client.send(TARGET, get_request('/a'), 5)
+            second = await client.send(TARGET, get_request('/b'), 5)
             return first, second
 
-        first, second = self.with_target(script, use)
+        first, second = self.run_with_target(script, use)
         self.assertEqual(b'/a', first.response.body)
         self.assertEqual(b'/b', second.response.body)
 
-    def test_a_byte_on_an_idle_connection_ends_it(self):
-        # The target sends half an answer nobody asked for, after a whole one. The next
-        # caller must not see it in front of its own.
-        async def script(conversation, data):
-            conversation.write(ok(path_of(data)))
+    def test_unsolicited_data_ends_an_idle_connection(self):
+        # The target sends an unsolicited response after a complete one. The next request must
+        # not get it as its response.
+        async def script(connection, data):
+            connection.write(ok_response(path_of(data)))
             if path_of(data) == b'/a':
                 loop = asyncio.get_running_loop()
-                loop.call_later(0.01, conversation.write, ok(b'stray'))
+                loop.call_later(0.01, connection.write, ok_response(b'stray'))
 
         async def use(client, target):
-            await client.send(TARGET, get('/a'), 5)
+            await client.send(TARGET, get_request('/a'), 5)
             await asyncio.sleep(0.05)
-            return await client.send(TARGET, get('/b'), 5), target.connections
+            return await client.send(TARGET, get_request('/b'), 5), target.connection_count
 
-        exchange, connections = self.with_target(script, use)
-        self.assertEqual(b'/b', exchange.response.body)
+        result, connections = self.run_with_target(script, use)
+        self.assertEqual(b'/b', result.response.body)
         self.assertEqual(2, connections)
 
-    def test_a_late_answer_belongs_to_nobody(self):
-        # The first call's deadline passes; its answer comes later, while the second call
-        # waits. The second caller gets its own.
-        async def script(conversation, data):
+    def test_a_response_after_the_deadline_is_ignored(self):
+        # The response to the first request arrives after its deadline, while the second
+        # request waits. The second request gets its own response.
+        async def script(connection, data):
             delay = 2 if path_of(data) == b'/slow' else 1.5
             await asyncio.sleep(delay)
-            conversation.write(ok(path_of(data)))
+            connection.write(ok_response(path_of(data)))
 
         async def use(client, target):
-            first = await client.send(TARGET, get('/slow'), 1)
-            return first, await client.send(TARGET, get('/b'), 5)
+            first = await client.send(TARGET, get_request('/slow'), 1)
+            return first, await client.send(TARGET, get_request('/b'), 5)
 
-        first, second = self.with_target(script, use)
+        first, second = self.run_with_target(script, use)
         self.assert_lost(ErrorKind.DEADLINE_EXCEEDED, first)
         self.assertEqual(b'/b', second.response.body)
 
-    def test_cut_answers_are_lost(self):
-        # Each answer ends before it is whole; none may be passed on, not even in part.
-        cut = [
+    def test_truncated_responses_are_lost(self):
+        # No part of an incomplete response may be passed on.
+        truncated = [
             b'HTTP/1.1 200 OK\r\ncontent-length: 10\r\n\r\nhalf',
             b'HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n4\r\nhalf\r\n',
             b'HTTP/1.1 200 OK\r\ncontent-le',
         ]
-        for answer in cut:
-            (exchange,) = self.exchanges_for(answer, end=True)
-            self.assert_lost(ErrorKind.INCOMPLETE_ANSWER, exchange)
+        for response in truncated:
+            (result,) = self.results_for(response, close=True)
+            self.assert_lost(ErrorKind.INCOMPLETE_ANSWER, result)
 
-    def test_a_connection_that_ends_without_a_byte_lost_the_target(self):
-        (exchange,) = self.exchanges_for(b'', end=True)
-        self.assert_lost(ErrorKind.TARGET_LOST, exchange)
+    def test_a_connection_that_ends_without_a_byte_means_the_target_is_lost(self):
+        (result,) = self.results_for(b'', close=True)
+        self.assert_lost(ErrorKind.TARGET_LOST, result)
 
-    def test_an_answer_that_ends_with_its_connection_is_not_trusted(self):
-        # Neither a length nor chunks: whole and cut look the same, so it is never passed on.
-        (exchange,) = self.exchanges_for(b'HTTP/1.0 200 OK\r\n\r\nperhaps whole', end=True)
-        self.assert_lost(ErrorKind.OUTCOME_UNKNOWN, exchange)
+    def test_a_close_delimited_response_is_not_trusted(self):
+        # It has neither a length nor chunks, so a truncated one looks the same as a complete one.
+        (result,) = self.results_for(b'HTTP/1.0 200 OK\r\n\r\nperhaps whole', close=True)
+        self.assert_lost(ErrorKind.OUTCOME_UNKNOWN, result)
 
-    def test_answers_over_the_limit_are_lost(self):
+    def test_responses_over_the_size_limit_are_lost(self):
         declared = b'HTTP/1.1 200 OK\r\ncontent-length: 2000\r\n\r\n'
         chunked = b'HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n7d0\r\n' + b'x' * 2000
-        for answer in (declared, chunked):
-            (exchange,) = self.exchanges_for(answer)
-            self.assert_lost(ErrorKind.OUTCOME_UNKNOWN, exchange)
+        for response in (declared, chunked):
+            (result,) = self.results_for(response)
+            self.assert_lost(ErrorKind.OUTCOME_UNKNOWN, result)
 
-    def test_answers_without_a_body_leave_the_connection_whole(self):
+    def test_responses_without_a_body_keep_the_connection_usable(self):
         head = b'HTTP/1.1 200 OK\r\ncontent-length: 100\r\n\r\n'
-        for method, answer in (
+        for method, response in (
             ('HEAD', head),
             ('GET', b'HTTP/1.1 204 No Content\r\n\r\n'),
             ('GET', b'HTTP/1.1 304 Not Modified\r\ncontent-length: 7\r\n\r\n'),
         ):
-            for exchange in self.exchanges_for(answer, method=method, count=2):
-                self.assertIsInstance(exchange, Answered)
-                self.assertEqual(b'', exchange.response.body)
+            for result in self.results_for(response, method=method, count=2):
+                self.assertIsInstance(result, Answered)
+                self.assertEqual(b'', result.response.body)
 
-    def test_interim_answers_are_passed_over(self):
+    def test_interim_responses_are_ignored(self):
         interim = b'HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nlink: x\r\n\r\n'
-        for exchange in self.exchanges_for(interim + ok(b'final'), count=2):
-            self.assertEqual(b'final', exchange.response.body)
+        for result in self.results_for(interim + ok_response(b'final'), count=2):
+            self.assertEqual(b'final', result.response.body)
 
-    def test_chunked_answers_are_put_together(self):
-        answer = (
+    def test_chunked_responses_are_joined(self):
+        response = (
             b'HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n'
         )
-        for exchange in self.exchanges_for(answer, count=2):
-            self.assertEqual(b'abcde', exchange.response.body)
+        for result in self.results_for(response, count=2):
+            self.assertEqual(b'abcde', result.response.body)
 
-    def test_a_request_that_is_no_http_was_not_sent(self):
-        async def script(conversation, data):
-            conversation.write(ok(b''))
+    def test_an_invalid_request_is_not_sent(self):
+        async def script(connection, data):
+            connection.write(ok_response(b''))
 
         async def use(client, target):
-            bad = HttpRequest('GET', '/', [(b'a b', b'\n')], b'', '')
-            return await client.send(TARGET, bad, 5), target.requests
+            invalid = HttpRequest('GET', '/', [(b'a b', b'\n')], b'', '')
+            return await client.send(TARGET, invalid, 5), target.requests
 
-        exchange, requests = self.with_target(script, use)
-        self.assertIsInstance(exchange, NotSent)
+        result, requests = self.run_with_target(script, use)
+        self.assertIsInstance(result, NotSent)
         self.assertEqual([], requests)
 
     def test_nothing_is_sent_after_the_deadline(self):
-        # Written and given up in the same moment, the call would be work for nobody, and
-        # its outcome unknown.
-        async def script(conversation, data):
-            conversation.write(ok(b''))
+        # Otherwise the target would work for a request that has already ended, with an
+        # unknown outcome.
+        async def script(connection, data):
+            connection.write(ok_response(b''))
 
         async def use(client, target):
-            await client.send(TARGET, get('/a'), 5)
-            exchange = await client.send(TARGET, get('/b'), 0)
+            await client.send(TARGET, get_request('/a'), 5)
+            result = await client.send(TARGET, get_request('/b'), 0)
             await asyncio.sleep(0.1)
-            return exchange, target.requests
+            return result, target.requests
 
-        exchange, requests = self.with_target(script, use)
-        self.assertIsInstance(exchange, NotSent)
+        result, requests = self.run_with_target(script, use)
+        self.assertIsInstance(result, NotSent)
         self.assertEqual(1, len(requests))
 
 
-class BelongingTest(ClientTest):
-    def test_a_late_answer_before_the_right_one_is_passed_over(self):
-        # The target answers an earlier request once more, just as ours is sent: the caller
-        # gets the answer with its own id.
-        async def script(conversation, data):
-            conversation.write(b'HTTP/1.1 200 OK\r\nid: 1\r\ncontent-length: 3\r\n\r\nold')
+class ResponseMatchingTest(ClientTest):
+    def test_a_response_to_an_earlier_request_is_skipped(self):
+        # The target repeats its response to an earlier request just as ours is sent. The
+        # response with the matching id is returned.
+        async def script(connection, data):
+            connection.write(b'HTTP/1.1 200 OK\r\nid: 1\r\ncontent-length: 3\r\n\r\nold')
             await asyncio.sleep(0.01)
-            conversation.write(b'HTTP/1.1 200 OK\r\nid: 2\r\ncontent-length: 3\r\n\r\nnew')
+            connection.write(b'HTTP/1.1 200 OK\r\nid: 2\r\ncontent-length: 3\r\n\r\nnew')
 
         async def use(client, target):
             req = HttpRequest('GET', '/', [], b'', '')
@@ -196,186 +195,187 @@
                 TARGET, req, 5, matches_request=lambda headers: (b'id', b'2') in headers
             )
 
-        self.assertEqual(b'new', self.with_target(script, use).response.body)
+        self.assertEqual(b'new', self.run_with_target(script, use).response.body)
 
-    def test_an_open_ended_answer_is_whole_only_where_that_is_promised(self):
-        async def script(conversation, data):
-            conversation.write(b'HTTP/1.1 200 OK\r\n\r\nwhole')
+    def test_a_close_delimited_response_is_accepted_only_where_allowed(self):
+        async def script(connection, data):
+            connection.write(b'HTTP/1.1 200 OK\r\n\r\nwhole')
             await asyncio.sleep(0.1)
-            conversation.end()
+            connection.close()
 
         async def use(client, target):
             req = HttpRequest('GET', '/', [], b'', '')
-            trusting = HttpClient(allow_close_delimited=True)
-            return await client.send(TARGET, req, 5), await trusting.send(TARGET, req, 5)
+            permissive = HttpClient(allow_close_delimited=True)
+            return await client.send(TARGET, req, 5), await permissive.send(TARGET, req, 5)
 
-        strict, trusting = self.with_target(script, use)
+        strict, permissive = self.run_with_target(script, use)
         self.assert_lost(ErrorKind.OUTCOME_UNKNOWN, strict)
-        self.assertEqual(b'whole', trusting.response.body)
+        self.assertEqual(b'whole', permissive.response.body)
 
 
 class SilentConnectionTest(ClientTest):
-    async def forgetful(self, conversation, data):
-        """Answer once on the first connection, then swallow; other connections work."""
+    async def drop_first_connection(self, connection, data):
+        """Answer one request on the first connection, then none; other connections work."""
         self.seen = getattr(self, 'seen', 0) + 1
-        if conversation.number > 1 or self.seen == 1:
-            conversation.write(ok(b'%d' % conversation.number))
+        if connection.number > 1 or self.seen == 1:
+            connection.write(ok_response(b'%d' % connection.number))
 
-    def test_a_connection_idle_for_long_is_not_used_again(self):
-        # Something between forgets idle connections: writes succeed, nothing answers. The
-        # caller of the next call sees no delay, for its call goes over a new connection.
+    def test_a_connection_that_was_idle_too_long_is_not_reused(self):
+        # A middlebox silently drops idle connections: writes succeed but nothing is answered.
+        # The next request is not delayed because it uses a new connection.
         async def use(client, target):
-            await client.send(TARGET, get(), 5)
+            await client.send(TARGET, get_request(), 5)
             await asyncio.sleep(3)
-            began = asyncio.get_running_loop().time()
-            exchange = await client.send(TARGET, get(), 5)
-            return exchange, asyncio.get_running_loop().time() - began
+            started_at = asyncio.get_running_loop().time()
+            result = await client.send(TARGET, get_request(), 5)
+            return result, asyncio.get_running_loop().time() - started_at
 
-        exchange, elapsed = self.with_target(self.forgetful, use)
-        self.assertEqual(b'2', exchange.response.body)
+        result, elapsed = self.run_with_target(self.drop_first_connection, use)
+        self.assertEqual(b'2', result.response.body)
         self.assertLess(elapsed, 0.1)
 
-    def test_what_must_not_run_twice_wants_a_fresher_connection(self):
-        # The connection is forgotten half a second after its last answer. A request that
-        # could be sent again may take the risk; one that could not goes over a new one.
+    def test_a_non_idempotent_request_needs_a_more_recent_connection(self):
+        # The connection is silently dropped within half a second after its last response. Only
+        # a request that could be sent again may be sent on it.
         async def use(client, target):
-            await client.send(TARGET, get(), 5)
+            await client.send(TARGET, get_request(), 5)
             await asyncio.sleep(0.5)
             return await client.send(TARGET, HttpRequest('POST', '/', [], b'', ''), 5)
 
-        exchange = self.with_target(self.forgetful, use)
-        self.assertEqual(b'2', exchange.response.body)
+        result = self.run_with_target(self.drop_first_connection, use)
+        self.assertEqual(b'2', result.response.body)
 
-    def overdue(self, script, *, allowed=True):
-        """Send one request that is overdue while later ones are answered."""
-        asked = []
+    def run_overdue(self, script, *, allowed=True):
+        """Send a request that becomes overdue while a later one is answered."""
+        resend_checks = []
 
         def allow_resend():
-            asked.append(allowed)
+            resend_checks.append(allowed)
             return allowed
 
         async def use(client, target):
             loop = asyncio.get_running_loop()
-            await client.send(TARGET, get(), 10)
-            began = loop.time()
+            await client.send(TARGET, get_request(), 10)
+            started_at = loop.time()
             overdue = loop.create_task(
-                client.send(TARGET, get('/x'), 10, allow_resend=allow_resend)
+                client.send(TARGET, get_request('/x'), 10, allow_resend=allow_resend)
             )
             await asyncio.sleep(0.2)
-            await client.send(TARGET, get(), 10, allow_resend=allow_resend)
-            return await overdue, loop.time() - began, len(asked)
+            await client.send(TARGET, get_request(), 10, allow_resend=allow_resend)
+            return await overdue, loop.time() - started_at, len(resend_checks)
 
-        return self.with_target(script, use)
+        return self.run_with_target(script, use)
 
-    def test_an_overdue_lookup_is_sent_once_more_over_a_new_connection(self):
-        # A lookup is swallowed by a kept connection; a later one is answered over a new
-        # one. The first is answered after a second, not lost at its deadline of ten.
-        exchange, elapsed, asked = self.overdue(self.forgetful)
-        self.assertIsInstance(exchange, Answered)
+    def test_an_overdue_request_is_resent_on_a_new_connection(self):
+        # A request is lost on a reused connection, and a later one is answered on a new one.
+        # The first is answered after one second instead of failing at its deadline of ten.
+        result, elapsed, checks = self.run_overdue(self.drop_first_connection)
+        self.assertIsInstance(result, Answered)
         self.assertLess(elapsed, 1.1)
-        self.assertEqual(1, asked)
+        self.assertEqual(1, checks)
 
-    def test_without_allowance_an_overdue_lookup_waits(self):
-        exchange, _, asked = self.overdue(self.forgetful, allowed=False)
-        self.assert_lost(ErrorKind.DEADLINE_EXCEEDED, exchange)
-        self.assertEqual(1, asked)
+    def test_an_overdue_request_waits_if_a_resend_is_not_allowed(self):
+        result, _, checks = self.run_overdue(self.drop_first_connection, allowed=False)
+        self.assert_lost(ErrorKind.DEADLINE_EXCEEDED, result)
+        self.assertEqual(1, checks)
 
-    def test_a_lookup_that_was_only_slow_is_answered_by_the_first(self):
-        # The lookup takes three seconds, each time it runs. It is sent once more after one
-        # second, and the answer to the first sending counts: nothing is given up for it.
-        async def script(conversation, data):
+    def test_a_slow_request_is_answered_on_its_first_connection(self):
+        # The request takes three seconds each time. It is resent after one second, but the
+        # response on the first connection arrives first and counts.
+        async def script(connection, data):
             await asyncio.sleep(3 if path_of(data) == b'/x' else 0)
-            conversation.write(ok(b'%d' % conversation.number))
+            connection.write(ok_response(b'%d' % connection.number))
 
-        exchange, elapsed, _ = self.overdue(script)
-        self.assertEqual(b'1', exchange.response.body)
+        result, elapsed, _ = self.run_overdue(script)
+        self.assertEqual(b'1', result.response.body)
         self.assertAlmostEqual(3.0, elapsed, delta=0.05)
 
-    def test_a_slow_request_is_left_alone_when_nothing_else_is_answered(self):
-        # All requests of this target take two seconds: none is taken for lost.
-        async def script(conversation, data):
+    def test_a_slow_request_is_not_resent_if_no_other_is_answered(self):
+        # All requests to this target take two seconds: none may be treated as lost.
+        async def script(connection, data):
             await asyncio.sleep(2)
-            conversation.write(ok(b''))
+            connection.write(ok_response(b''))
 
         async def use(client, target):
-            await client.send(TARGET, get(), 10)
-            sends = (client.send(TARGET, get(), 10, allow_resend=lambda: True) for _ in range(3))
+            await client.send(TARGET, get_request(), 10)
+            sends = (
+                client.send(TARGET, get_request(), 10, allow_resend=lambda: True) for _ in range(3)
+            )
             return await asyncio.gather(*sends), target.requests
 
-        exchanges, requests = self.with_target(script, use)
+        results, requests = self.run_with_target(script, use)
         self.assertEqual(4, len(requests))
-        for exchange in exchanges:
-            self.assertIsInstance(exchange, Answered)
+        for result in results:
+            self.assertIsInstance(result, Answered)
 
-    def test_a_request_that_must_run_once_is_left_alone_when_overdue(self):
-        # A release takes three seconds while lookups take none. Giving it up would make a
-        # known outcome unknown.
-        async def script(conversation, data):
+    def test_an_overdue_non_idempotent_request_is_not_resent(self):
+        # A release takes three seconds while reads take none. Ending it early would turn a
+        # known outcome into an unknown one.
+        async def script(connection, data):
             if path_of(data) == b'/release':
                 await asyncio.sleep(3)
-            conversation.write(ok(b''))
+            connection.write(ok_response(b''))
 
         async def use(client, target):
             loop = asyncio.get_running_loop()
-            await client.send(TARGET, get(), 10)
-            release = loop.create_task(client.send(TARGET, get('/release'), 10))
+            await client.send(TARGET, get_request(), 10)
+            release = loop.create_task(client.send(TARGET, get_request('/release'), 10))
             for _ in range(20):
                 await asyncio.sleep(0.1)
-                await client.send(TARGET, get(), 10, allow_resend=lambda: True)
+                await client.send(TARGET, get_request(), 10, allow_resend=lambda: True)
             return await release
 
-        self.assertIsInstance(self.with_target(script, use), Answered)
+        self.assertIsInstance(self.run_with_target(script, use), Answered)
 
-    def test_connections_that_will_not_be_used_again_are_closed(self):
-        # Each must-run-once request takes a new connection. Kept for ever, the old ones
-        # would fill the places of the target, which has a few hundred.
-        async def script(conversation, data):
-            conversation.write(ok(b''))
+    def test_connections_that_can_no_longer_be_reused_are_closed(self):
+        # Each non-idempotent request opens a new connection. If the old ones stayed open, they
+        # would use up the target's limit of a few hundred connections.
+        async def script(connection, data):
+            connection.write(ok_response(b''))
 
         async def use(client, target):
             for _ in range(20):
                 await client.send(TARGET, HttpRequest('POST', '/', [], b'', ''), 5)
                 await asyncio.sleep(0.5)
-            return target.connections - target.ended
+            return target.connection_count - target.closed_count
 
-        self.assertLessEqual(self.with_target(script, use), 5)
+        self.assertLessEqual(self.run_with_target(script, use), 5)
 
     def test_cancelling_closes_the_connection(self):
-        async def script(conversation, data):
+        async def script(connection, data):
             await asyncio.sleep(0)
 
         async def use(client, target):
-            task = asyncio.get_running_loop().create_task(client.send(TARGET, get(), 10))
+            task = asyncio.get_running_loop().create_task(client.send(TARGET, get_request(), 10))
             await asyncio.sleep(0.1)
             task.cancel()
-            await asyncio.wait_for(target.closed.wait(), 0.1)
+            await asyncio.wait_for(target.connection_closed.wait(), 0.1)
             return True
 
-        self.assertTrue(self.with_target(script, use))
+        self.assertTrue(self.run_with_target(script, use))
 
 
-class PlatformSilentTest(ClientTest):
-    def test_one_call_finds_out_that_the_platform_forgot_the_connections(self):
-        # The platform's kept connections go silent while in use; new ones work. One call
-        # fails after its time, and takes the other kept connections with it: the
-        # next call succeeds at once over a new one.
-        async def script(conversation, data):
+class PlatformConnectionsTest(ClientTest):
+    def test_one_timeout_closes_all_idle_connections_to_the_platform(self):
+        # The open connections to the platform are silently dropped; new ones work. One call
+        # times out and closes the other idle connections, so the next call succeeds at once.
+        async def script(connection, data):
             self.seen = getattr(self, 'seen', 0) + 1
-            if self.seen <= 3 or conversation.number > 3:
+            if self.seen <= 3 or connection.number > 3:
                 await asyncio.sleep(0.01)
-                conversation.write(ok(b'{"items": [], "atRevision": 1}'))
+                connection.write(ok_response(b'{"items": [], "atRevision": 1}'))
 
         async def use(client, target):
             store = HttpObjectStore(TARGET, client)
             loop = asyncio.get_running_loop()
             await asyncio.gather(*(store.list('records') for _ in range(3)))
-            began = loop.time()
+            started_at = loop.time()
             first = await store.list('records')
-            lost_after = loop.time() - began
+            lost_after = loop.time() - started_at
             second = await store.list('records')
-            return first, lost_after, second, loop.time() - began - lost_after
+            return first, lost_after, second, loop.time() - started_at - lost_after
 
-        first, lost_after, second, elapsed = self.with_target(script, use)
+        first, lost_after, second, elapsed = self.run_with_target(script, use)
         self.assertTrue(first.is_err())
         self.assertAlmostEqual(CALL_TIMEOUT, lost_after, delta=0.05)
         self.assertTrue(second.is_ok())
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -9,13 +9,13 @@
 from tests.fakes.mesh import Mesh
 from tests.utils import run_cli
 
-SETTLED = 4.0
+SETTLE_SECONDS = 4.0  #: until the nodes know each other
 
 
 class DecisionTest(PausedClockTest):
-    """Runs a request through real nodes and reads what they logged."""
+    """Sends requests through real nodes and checks what they log."""
 
-    def logged(self, scenario, targets=('a:front', 'b:deep')):
+    def run_and_read_log(self, scenario, targets=('a:front', 'b:deep')):
         async def run():
             mesh = Mesh()
             mesh.stream = io.StringIO()
@@ -24,7 +24,7 @@
                 node = await mesh.place(name, service)
                 logger = start_logs(mesh.stream, 'info', instance=name, domain='d')
                 node.logger = node.decisions.logger = logger
-            await asyncio.sleep(SETTLED)
+            await asyncio.sleep(SETTLE_SECONDS)
             try:
                 await scenario(mesh)
                 await asyncio.sleep(1.5)
@@ -35,22 +35,22 @@
         text = self.run_paused(run())
         return text, [json.loads(line) for line in text.splitlines()]
 
-    def of(self, lines, event):
+    def lines_of(self, lines, event):
         return [line for line in lines if line['message'] == event.value]
 
-    def test_an_answered_request_is_told_from_its_route_to_its_answer(self):
+    def test_an_answered_request_is_logged_from_its_route_to_its_answer(self):
         async def scenario(mesh):
             await mesh.call('a', '/deep/x', request_id='r-1')
 
-        _, lines = self.logged(scenario)
-        own = [line['message'] for line in lines if line.get('request_id') == 'r-1']
-        self.assertEqual(['request routed', 'request sent', 'request answered'], own)
-        (sent,) = self.of(lines, Event.SENT)
+        _, lines = self.run_and_read_log(scenario)
+        messages = [line['message'] for line in lines if line.get('request_id') == 'r-1']
+        self.assertEqual(['request routed', 'request sent', 'request answered'], messages)
+        (sent,) = self.lines_of(lines, Event.SENT)
         self.assertEqual(('b', 1), (sent['to'], sent['candidates']))
 
-    def test_a_failed_request_carries_every_send_and_what_it_met(self):
-        # Both targets break off at each of four sends. The line of the failure alone names
-        # all, with the time each took, whatever other lines were left out.
+    def test_a_failed_request_lists_every_attempt_and_its_result(self):
+        # Both targets fail at each of four attempts. The line of the failure alone lists them
+        # all with their duration, whatever other lines were omitted.
         async def scenario(mesh):
             async def broken(req):
                 raise ConnectionError
@@ -60,39 +60,41 @@
                 mesh.targets[name].face.on_fault = lambda req: None
             await mesh.call('a', '/deep/x', request_id='r-1')
 
-        _, lines = self.logged(scenario, ('a:front', 'b:deep', 'c:deep'))
-        (failed,) = self.of(lines, Event.FAILED)
+        _, lines = self.run_and_read_log(scenario, ('a:front', 'b:deep', 'c:deep'))
+        (failed,) = self.lines_of(lines, Event.FAILED)
         self.assertEqual({'b', 'c'}, {attempt['instance'] for attempt in failed['attempts']})
         self.assertEqual((7, 'WARNING'), (failed['version'], failed['level']))
         self.assertEqual(4, len(failed['attempts']))
-        self.assertEqual(3, len(self.of(lines, Event.RESENT)))
+        self.assertEqual(3, len(self.lines_of(lines, Event.RESENT)))
 
-    def test_a_refusal_names_the_load_that_decided_it(self):
+    def test_a_refusal_logs_the_load_that_caused_it(self):
         async def scenario(mesh):
             mesh.targets['b'].state = 'draining'
             await mesh.targets['b'].announce(mesh.client)
             await mesh.call('a', '/deep/x', request_id='r-1')
 
-        _, lines = self.logged(scenario)
-        refused = self.of(lines, Event.REFUSED)
+        _, lines = self.run_and_read_log(scenario)
+        refused = self.lines_of(lines, Event.REFUSED)
         self.assertEqual('draining', refused[0]['kind'])
         self.assertIn('limit', refused[0])
 
-    def test_a_flood_is_bounded_and_what_was_left_out_is_counted(self):
+    def test_a_flood_of_lines_is_limited_and_omitted_lines_are_counted(self):
         async def scenario(mesh):
             await asyncio.gather(*(mesh.call('a', '/nowhere/x') for _ in range(300)))
             await asyncio.sleep(1.0)
             await mesh.call('a', '/nowhere/x')
 
-        _, lines = self.logged(scenario)
-        unrouted = self.of(lines, Event.UNROUTED)
+        _, lines = self.run_and_read_log(scenario)
+        unrouted = self.lines_of(lines, Event.UNROUTED)
         self.assertLessEqual(len(unrouted), 2 * MAX_LINES_PER_SECOND[Event.UNROUTED] + 1)
-        omitted = sum(line['counts'][Event.UNROUTED] for line in self.of(lines, Event.OMITTED))
+        omitted = sum(
+            line['counts'][Event.UNROUTED] for line in self.lines_of(lines, Event.OMITTED)
+        )
         self.assertEqual(301, len(unrouted) + omitted)
 
-    def test_trace_tells_the_story_across_nodes(self):
-        # Two targets serve; the first breaks off. From the request's id alone: where it went
-        # first, what happened there, and who answered.
+    def test_trace_shows_a_request_across_nodes(self):
+        # Two targets serve and one of them fails. Given only the request id, trace shows where
+        # the request was sent first, what happened there, and who answered.
         async def scenario(mesh):
             async def broken(req):
                 raise ConnectionError
@@ -102,18 +104,18 @@
             for number in range(4):
                 await mesh.call('a', '/deep/x', request_id=f'r-{number}')
 
-        text, lines = self.logged(scenario, ('a:front', 'b:deep', 'c:deep'))
-        resent = self.of(lines, Event.RESENT)[0]['request_id']
-        result = run_cli('trace', resent, stdin=f'not json\n{text}')
+        text, lines = self.run_and_read_log(scenario, ('a:front', 'b:deep', 'c:deep'))
+        resent_id = self.lines_of(lines, Event.RESENT)[0]['request_id']
+        result = run_cli('trace', resent_id, stdin=f'not json\n{text}')
         self.assertEqual(0, result.status)
         self.assertIn('request sent again', result.output)
         self.assertIn('1 lines could not be read', result.error)
-        story = run_cli('trace', resent, '--json', stdin=text).json
-        self.assertEqual('request answered', story['lines'][-1]['message'])
+        trace = run_cli('trace', resent_id, '--json', stdin=text).json
+        self.assertEqual('request answered', trace['lines'][-1]['message'])
 
-    def test_trace_over_three_nodes_of_which_one_was_killed(self):
-        # A node goes while its target runs the request: its own lines end there, and those of
-        # the entry tell that it was lost, where it went next, and who answered.
+    def test_trace_across_three_nodes_one_of_which_stopped(self):
+        # A node stops while its target runs the request, so its own lines end there. The lines
+        # of the entry show that the call was lost, where it went next, and who answered.
         async def scenario(mesh):
             for name in 'bc':
                 mesh.targets[name].seconds = 0.3
@@ -123,60 +125,64 @@
             await mesh.nodes[busy].stop()
             await call
 
-        text, _ = self.logged(scenario, ('a:front', 'b:deep', 'c:deep'))
-        story = run_cli('trace', 'r-1', '--json', stdin=text).json['lines']
-        told = [line['message'] for line in story]
+        text, _ = self.run_and_read_log(scenario, ('a:front', 'b:deep', 'c:deep'))
+        lines = run_cli('trace', 'r-1', '--json', stdin=text).json['lines']
+        messages = [line['message'] for line in lines]
         expected = ['request routed', 'request sent', 'request sent again', 'request sent']
-        self.assertEqual([*expected, 'request answered'], told)
-        first, second = story[-1]['attempts']
+        self.assertEqual([*expected, 'request answered'], messages)
+        first, second = lines[-1]['attempts']
         self.assertEqual(('peer-lost', ''), (first['kind'], second['kind']))
         self.assertNotEqual(first['instance'], second['instance'])
 
-    def test_a_failed_request_names_the_call_that_it_failed_for(self):
-        # A request fails three hops up with a status 500 of its target, which says nothing. The
-        # cause is a call further down that was refused: it stands in the line of the request.
+    def test_a_failed_request_names_the_call_that_caused_the_failure(self):
+        # A request fails with status 500 of its target, which does not show the cause. The
+        # cause is a call further down that was refused; the line of the request names it.
         async def scenario(mesh):
             mesh.targets['b'].state = 'draining'
             await mesh.targets['b'].announce(mesh.client)
 
-            async def calling(req):
+            async def call_deep(req):
                 request_id = f'{req.header(b"request-id")}.1'
-                down = await mesh.call('a', '/deep/x', request_id=request_id)
-                return mesh.targets['a'].signed(req, status=500 if down.status != 200 else 200)
+                response = await mesh.call('a', '/deep/x', request_id=request_id)
+                return mesh.targets['a'].signed(req, status=500 if response.status != 200 else 200)
 
-            mesh.targets['a'].script = calling
+            mesh.targets['a'].script = call_deep
             await mesh.call('a', '/front/x', request_id='r-1')
 
-        text, lines = self.logged(scenario)
-        (root,) = (line for line in self.of(lines, Event.FAILED) if not line['inner'])
-        self.assertIn('deep ', root['cause'])
+        text, lines = self.run_and_read_log(scenario)
+        (entry_line,) = (line for line in self.lines_of(lines, Event.FAILED) if not line['inner'])
+        self.assertIn('deep ', entry_line['cause'])
         counts = run_cli('failures', '--json', stdin=text).json
-        reasons = {(one['of'], one['service'], one['reason']) for one in counts}
-        self.assertIn(('request', 'front', root['cause']), reasons)
+        reasons = {(row['of'], row['service'], row['reason']) for row in counts}
+        self.assertIn(('request', 'front', entry_line['cause']), reasons)
         result = run_cli('failures', '--seconds', stdin=f'not json\n{text}')
         self.assertEqual(0, result.status)
         self.assertIn('SECOND', result.output)
 
-    def test_trace_shows_other_failed_calls_only_where_none_of_its_own_is_known(self):
-        # The engineer reads forty lines of requests that failed beside the one in question,
-        # though its own story names the call that it failed of.
-        when = '2026-01-01T00:00:00.{}+00:00'
+    def test_trace_shows_other_failed_calls_only_if_no_own_one_is_logged(self):
+        # Otherwise the output lists forty lines of unrelated failed requests, although the lines
+        # of the request itself name the call that caused its failure.
+        time_format = '2026-01-01T00:00:00.{}+00:00'
 
-        def failed(request_id, instance, moment, *, inner):
+        def failed(request_id, instance, milliseconds, *, inner):
             attempts = [{'instance': 'b', 'kind': '', 'status': 500, 'seconds': 0.2}]
-            line = {'time': when.format(moment), 'instance': instance, 'request_id': request_id}
+            line = {
+                'time': time_format.format(milliseconds),
+                'instance': instance,
+                'request_id': request_id,
+            }
             line |= {'message': Event.FAILED, 'inner': inner, 'attempts': attempts}
             return json.dumps(line) + '\n'
 
-        root = failed('r-1', 'a', 300, inner=False)
+        entry_line = failed('r-1', 'a', 300, inner=False)
         other = failed('r-9.1', 'b', 250, inner=True)
         own = failed('r-1.1', 'b', 200, inner=True)
-        with_own = run_cli('trace', 'r-1', stdin=root + other + own)
-        without = run_cli('trace', 'r-1', stdin=root + other)
+        with_own = run_cli('trace', 'r-1', stdin=entry_line + other + own)
+        without = run_cli('trace', 'r-1', stdin=entry_line + other)
         self.assertNotIn('r-9.1', with_own.output)
         self.assertIn('r-9.1', without.output)
 
-    def test_trace_without_a_match_says_so(self):
+    def test_trace_reports_an_unknown_request_id(self):
         result = run_cli('trace', 'r-none', stdin='{"message": "x", "request_id": "r-1"}\n')
         self.assertEqual(5, result.status)
         self.assertIn('no line names the request r-none', result.error)
@@ -184,11 +190,11 @@
 
 
 class PatientOutputTest(PausedClockTest):
-    def test_a_reader_that_has_stopped_costs_lines_and_no_time(self):
-        # The pipe is full and nobody reads. Writing returns at once; when the reader is back,
-        # the oldest lines come, and one that tells how many were dropped.
-        reading, writing = os.pipe()
-        output = PatientOutput(writing)
+    def test_a_stopped_reader_loses_lines_but_does_not_block(self):
+        # The pipe is full and nobody reads it. Writing returns at once. When the reader resumes,
+        # it gets the oldest lines and one that states how many were dropped.
+        read_fd, write_fd = os.pipe()
+        output = PatientOutput(write_fd)
 
         async def scenario():
             for number in range(LINES_HELD * 4):
@@ -197,20 +203,20 @@
             dropped = output.dropped
             text = b''
             for _ in range(200):
-                text += os.read(reading, 1 << 16)
+                text += os.read(read_fd, 1 << 16)
                 output.flush()
                 if not output._lines:
                     break
             output.write('{"last": true}\n')
             output.flush()
-            text += os.read(reading, 1 << 16)
+            text += os.read(read_fd, 1 << 16)
             return dropped, [json.loads(line) for line in text.decode().splitlines()]
 
         try:
             dropped, lines = self.run_paused(scenario())
         finally:
-            os.close(reading)
-            os.close(writing)
+            os.close(read_fd)
+            os.close(write_fd)
         self.assertGreater(dropped, 0)
         self.assertEqual(list(range(100)), [line['n'] for line in lines[:100]])
         self.assertIn({'message': 'log lines dropped', 'count': dropped}, lines)
--- a/tests/test_http_codec.py
+++ b/tests/test_http_codec.py
@@ -19,57 +19,57 @@
         reader = RequestReader(1000, 100)
         return [message for piece in pieces for message in reader.feed(piece)]
 
-    def test_requests_come_whole_however_the_bytes_are_cut(self):
+    def test_requests_are_complete_however_the_bytes_are_split(self):
         data = HEAD + b'Content-Length: 3\r\n\r\nabc' + HEAD + b'Content-Length: 0\r\n\r\n'
         for size in (1, 7, 1000):
-            found = self.read(*(data[n : n + size] for n in range(0, len(data), size)))
-            self.assertEqual([b'abc', b''], [message.body for message in found])
-            self.assertEqual([(b'host', b'x')], found[0].headers[:1])
+            messages = self.read(*(data[n : n + size] for n in range(0, len(data), size)))
+            self.assertEqual([b'abc', b''], [message.body for message in messages])
+            self.assertEqual([(b'host', b'x')], messages[0].headers[:1])
 
-    def test_chunks_are_put_together_and_trailers_are_no_headers(self):
+    def test_chunks_are_joined_and_trailers_are_not_headers(self):
         data = HEAD + b'Transfer-Encoding: chunked\r\n\r\n2\r\nab\r\n1\r\nc\r\n0\r\nhost: y\r\n\r\n'
         (message,) = self.read(data)
         self.assertEqual(b'abc', message.body)
         self.assertEqual(1, len([n for n, _ in message.headers if n == b'host']))
 
-    def test_bounds(self):
-        big = b'x: ' + b'y' * 2000 + b'\r\n\r\n'
-        self.assertThat(lambda: self.read(HEAD + big), raises(HeadTooLarge))
+    def test_messages_over_the_size_limits_are_rejected(self):
+        large_header = b'x: ' + b'y' * 2000 + b'\r\n\r\n'
+        self.assertThat(lambda: self.read(HEAD + large_header), raises(HeadTooLarge))
         self.assertThat(lambda: self.read(HEAD + b'x: ', *[b'y' * 500] * 5), raises(HeadTooLarge))
-        body = b'Content-Length: 101\r\n\r\n'
-        self.assertThat(lambda: self.read(HEAD + body), raises(BodyTooLarge))
+        length_header = b'Content-Length: 101\r\n\r\n'
+        self.assertThat(lambda: self.read(HEAD + length_header), raises(BodyTooLarge))
         chunked = b'Transfer-Encoding: chunked\r\n\r\n65\r\n' + b'z' * 101
         self.assertThat(lambda: self.read(HEAD + chunked), raises(BodyTooLarge))
 
-    def test_a_request_without_exactly_one_host_is_refused(self):
+    def test_a_request_without_exactly_one_host_is_rejected(self):
         for head in (b'GET / HTTP/1.1\r\n', b'GET / HTTP/1.1\r\nhost: a\r\nhost: b\r\n'):
             self.assertThat(lambda head=head: self.read(head + b'\r\n'), raises(MalformedMessage))
 
-    def test_an_upgrade_is_not_taken_up(self):
+    def test_an_upgrade_request_closes_the_connection(self):
         data = b'GET / HTTP/1.1\r\nhost: a\r\nconnection: upgrade\r\nupgrade: x\r\n\r\njunk'
         (message,) = self.read(data)
         self.assertFalse(message.keep_alive)
 
 
 class ResponseReaderTest(TestCase):
-    def test_two_answers_in_one_piece_are_told_apart(self):
-        answer = b'HTTP/1.1 200 OK\r\ncontent-length: 1\r\n\r\n'
-        found = ResponseReader(1000, 100).feed(answer + b'a' + answer + b'b')
-        self.assertEqual([b'a', b'b'], [message.body for message in found])
+    def test_two_responses_in_one_piece_are_separated(self):
+        head = b'HTTP/1.1 200 OK\r\ncontent-length: 1\r\n\r\n'
+        messages = ResponseReader(1000, 100).feed(head + b'a' + head + b'b')
+        self.assertEqual([b'a', b'b'], [message.body for message in messages])
 
-    def test_bytes_behind_an_answer_leave_it_whole_and_mark_the_connection(self):
+    def test_bytes_after_a_response_keep_it_complete_but_mark_the_reader(self):
         reader = ResponseReader(1000, 100)
         (message,) = reader.feed(b'HTTP/1.1 200 OK\r\ncontent-length: 1\r\n\r\na???')
         self.assertEqual(b'a', message.body)
         self.assertTrue(reader.broken or reader.in_message)
 
-    def test_a_body_without_length_is_whole_at_the_end_only(self):
+    def test_a_body_without_length_is_complete_only_at_the_end(self):
         reader = ResponseReader(1000, 100)
         self.assertEqual([], reader.feed(b'HTTP/1.1 200 OK\r\n\r\nab'))
         reader.feed(b'c')
         self.assertEqual(b'abc', reader.feed_eof().body)
 
-    def test_a_cut_body_is_never_whole(self):
+    def test_a_truncated_body_is_never_complete(self):
         for head in (b'content-length: 9\r\n', b'transfer-encoding: chunked\r\n'):
             reader = ResponseReader(1000, 100)
             reader.feed(b'HTTP/1.1 200 OK\r\n' + head + b'\r\n')
@@ -77,7 +77,7 @@
 
 
 class EncodeTest(TestCase):
-    def test_a_line_end_in_a_header_is_refused(self):
+    def test_a_line_break_in_a_header_is_rejected(self):
         for name, value in ((b'a\r\nb', b'c'), (b'a', b'b\nc: d'), (b'a', b'\0')):
             headers = [(name, value)]
             self.assertThat(lambda h=headers: encode_response(200, h, b''), raises(ValueError))
@@ -85,6 +85,6 @@
                 lambda h=headers: encode_request('GET', '/', h, b''), raises(ValueError)
             )
 
-    def test_a_target_with_a_space_or_line_end_is_refused(self):
+    def test_a_request_target_with_a_space_or_line_break_is_rejected(self):
         for target in ('/a b', '/a\r\nx: y', ''):
             self.assertThat(lambda t=target: encode_request('GET', t, [], b''), raises(ValueError))
--- a/tests/test_http_listener.py
+++ b/tests/test_http_listener.py
@@ -5,11 +5,11 @@
 from dunlinsaddle.settings import Address
 from tests.clock import PausedClockTest
 
-FACE = Address('127.0.0.1', 80)
+ADDRESS = Address('127.0.0.1', 80)
 LIMITS = HttpLimits(max_header_bytes=4096, max_body_bytes=1000, header_timeout=10, idle_timeout=75)
 
 
-class FaceTest(PausedClockTest):
+class ListenerTest(PausedClockTest):
     def setUp(self):
         super().setUp()
         self.handled = []
@@ -25,222 +25,221 @@
             raise
         return self.response
 
-    def with_face(self, use):
+    def run_with_listener(self, use):
         async def scenario():
-            face = HttpListener(self.handle, LIMITS)
-            await face.listen(FACE)
-            reader, writer = await asyncio.open_connection(FACE.host, FACE.port)
+            listener = HttpListener(self.handle, LIMITS)
+            await listener.listen(ADDRESS)
+            reader, writer = await asyncio.open_connection(ADDRESS.host, ADDRESS.port)
             try:
-                return await use(face, reader, writer)
+                return await use(listener, reader, writer)
             finally:
                 writer.close()
-                face.close()
+                listener.close()
                 await asyncio.sleep(0.1)
 
         return self.run_paused(scenario())
 
-    def answer_to(self, data, *, until_end=True):
-        async def use(face, reader, writer):
+    def response_to(self, data, *, read_to_eof=True):
+        async def use(listener, reader, writer):
             writer.write(data)
-            if until_end:
+            if read_to_eof:
                 return await asyncio.wait_for(reader.read(), 200)
             await asyncio.sleep(1)
             return await reader.read(65536)
 
-        return self.with_face(use)
+        return self.run_with_listener(use)
 
 
-class AnswerTest(FaceTest):
-    def test_head_is_answered_without_a_body(self):
-        answer = self.answer_to(b'HEAD / HTTP/1.1\r\nhost: a\r\nconnection: close\r\n\r\n')
-        self.assertTrue(answer.startswith(b'HTTP/1.1 200'))
-        self.assertTrue(answer.endswith(b'\r\n\r\n'))
+class ResponseTest(ListenerTest):
+    def test_a_head_request_is_answered_without_a_body(self):
+        response = self.response_to(b'HEAD / HTTP/1.1\r\nhost: a\r\nconnection: close\r\n\r\n')
+        self.assertTrue(response.startswith(b'HTTP/1.1 200'))
+        self.assertTrue(response.endswith(b'\r\n\r\n'))
 
-    def test_no_content_has_no_length(self):
-        # Two answers on one connection: a length or a body in the first would be read as
-        # part of the second.
+    def test_a_204_response_has_no_length(self):
+        # A length or a body in the first of two responses would be read as part of the second.
         self.response = HttpResponse(204, [], b'ignored')
-        answer = self.answer_to(b'GET / HTTP/1.1\r\nhost: a\r\n\r\n' * 2, until_end=False)
-        self.assertEqual(b'HTTP/1.1 204 \r\n\r\n' * 2, answer)
+        response = self.response_to(b'GET / HTTP/1.1\r\nhost: a\r\n\r\n' * 2, read_to_eof=False)
+        self.assertEqual(b'HTTP/1.1 204 \r\n\r\n' * 2, response)
 
-    def test_an_answer_that_is_no_http_becomes_a_fault(self):
+    def test_an_invalid_response_becomes_an_internal_error(self):
         self.response = HttpResponse(200, [(b'a b', b'\n')], b'')
-        answer = self.answer_to(b'GET / HTTP/1.1\r\nhost: a\r\n\r\n')
-        self.assertTrue(answer.startswith(b'HTTP/1.1 500'), answer)
+        response = self.response_to(b'GET / HTTP/1.1\r\nhost: a\r\n\r\n')
+        self.assertTrue(response.startswith(b'HTTP/1.1 500'), response)
 
-    def test_headers_that_connection_names_do_not_travel_on(self):
+    def test_headers_named_in_connection_are_not_forwarded(self):
         headers = [(b'connection', b'close, X-Hop'), (b'x-hop', b'1'), (b'x-end', b'2')]
         self.assertEqual([(b'x-end', b'2')], forwarded_headers(headers))
 
 
-class BadRequestTest(FaceTest):
-    def test_two_framings_are_refused(self):
-        # A party in front that believes the other header would cut the stream elsewhere.
+class BadRequestTest(ListenerTest):
+    def test_two_framing_headers_are_rejected(self):
+        # A proxy in front that uses the other header would split the stream elsewhere.
         data = (
             b'POST / HTTP/1.1\r\nhost: a\r\ncontent-length: 4\r\n'
             b'transfer-encoding: chunked\r\n\r\n0\r\n\r\nGET /smuggled HTTP/1.1\r\nhost: a\r\n\r\n'
         )
-        answer = self.answer_to(data)
-        self.assertTrue(answer.startswith(b'HTTP/1.1 400'), answer)
+        response = self.response_to(data)
+        self.assertTrue(response.startswith(b'HTTP/1.1 400'), response)
         self.assertEqual([], self.handled)
 
-    def test_connect_is_refused(self):
-        answer = self.answer_to(b'CONNECT a:1 HTTP/1.1\r\nhost: a\r\n\r\n')
-        self.assertTrue(answer.startswith(b'HTTP/1.1 405'), answer)
+    def test_connect_is_rejected(self):
+        response = self.response_to(b'CONNECT a:1 HTTP/1.1\r\nhost: a\r\n\r\n')
+        self.assertTrue(response.startswith(b'HTTP/1.1 405'), response)
 
-    def test_a_trickling_sender_is_ended_also_on_a_kept_connection(self):
-        # After one whole request the sender gives a byte a second. The time for a request
-        # runs from its first byte, so it ends after ten seconds, not after 75 of idleness.
-        async def use(face, reader, writer):
+    def test_a_slow_sender_times_out_on_a_keep_alive_connection(self):
+        # After one complete request the client sends a byte per second. The header timeout of
+        # ten seconds starts at the first byte, and applies instead of the idle timeout of 75.
+        async def use(listener, reader, writer):
             loop = asyncio.get_running_loop()
             writer.write(b'GET / HTTP/1.1\r\nhost: a\r\n\r\n')
             await asyncio.sleep(5)
-            began = loop.time()
+            started_at = loop.time()
             for byte in b'GET /' + b'x' * 55:
                 writer.write(bytes([byte]))
                 await asyncio.sleep(1)
-                if reader.at_eof() or not face.connections:
+                if reader.at_eof() or not listener.connections:
                     break
-            return loop.time() - began, await reader.read()
+            return loop.time() - started_at, await reader.read()
 
-        elapsed, answer = self.with_face(use)
+        elapsed, response = self.run_with_listener(use)
         self.assertLess(elapsed, 12)
-        self.assertIn(b'HTTP/1.1 408', answer)
+        self.assertIn(b'HTTP/1.1 408', response)
 
 
-class CallerGoneTest(FaceTest):
-    def test_a_caller_that_ends_its_side_has_gone(self):
-        # Most callers that go away send an end of stream and no more. Their work stops
-        # at once, down the whole chain, instead of taking a slot for nobody.
-        async def use(face, reader, writer):
+class DisconnectTest(ListenerTest):
+    def test_end_of_stream_from_the_caller_cancels_its_request(self):
+        # Most callers that disconnect only send an end of stream. Their requests must be
+        # cancelled at once, down the whole chain, so that they occupy no slot.
+        async def use(listener, reader, writer):
             writer.write(b'GET / HTTP/1.1\r\nhost: a\r\nsleep: 5\r\n\r\n')
             await asyncio.sleep(0.1)
             writer.write_eof()
             await asyncio.sleep(0.1)
             return self.cancelled
 
-        self.assertEqual(1, self.with_face(use))
+        self.assertEqual(1, self.run_with_listener(use))
 
 
-class FlowControlTest(FaceTest):
-    def test_a_caller_that_reads_nothing_holds_one_answer(self):
-        # A caller sends a thousand requests and reads no answer. The next request is run
-        # only once the last answer is sent, so that answers cannot pile up; after the idle
-        # time the connection ends.
+class FlowControlTest(ListenerTest):
+    def test_at_most_one_response_is_buffered_for_a_caller_that_does_not_read(self):
+        # A caller sends a thousand requests and reads no response. Each request is handled only
+        # after the previous response has been sent, so that responses cannot accumulate in
+        # memory. The connection ends after the idle timeout.
         self.response = HttpResponse(200, [], b'x' * 100_000)
 
-        async def use(face, reader, writer):
+        async def use(listener, reader, writer):
             reader._transport.pause_reading()
-            (conn,) = face.connections
+            (conn,) = listener.connections
             for _ in range(1000):
                 writer.write(b'GET / HTTP/1.1\r\nhost: a\r\n\r\n')
             await asyncio.sleep(30)
             unsent = conn.transport.get_write_buffer_size()
             held = len(conn.held)
             await asyncio.sleep(60)
-            return unsent, held, len(self.handled), len(face.connections)
+            return unsent, held, len(self.handled), len(listener.connections)
 
-        unsent, held, handled, left = self.with_face(use)
+        unsent, held, handled, connections_left = self.run_with_listener(use)
         self.assertLess(unsent, 101_000)
         self.assertLess(held, 100_000)
         self.assertLess(handled, 5)
-        self.assertEqual(0, left)
+        self.assertEqual(0, connections_left)
 
-    def test_requests_sent_ahead_are_all_answered(self):
-        async def use(face, reader, writer):
+    def test_pipelined_requests_are_all_answered(self):
+        async def use(listener, reader, writer):
             writer.write(b'GET / HTTP/1.1\r\nhost: a\r\nsleep: 0.01\r\n\r\n' * 500)
-            answers = b''
-            while answers.count(b'HTTP/1.1 200') < 500:
-                answers += await reader.read(65536)
+            responses = b''
+            while responses.count(b'HTTP/1.1 200') < 500:
+                responses += await reader.read(65536)
             return len(self.handled)
 
-        self.assertEqual(500, self.with_face(use))
+        self.assertEqual(500, self.run_with_listener(use))
 
 
-class ClosingTest(FaceTest):
-    def test_a_request_that_meets_the_closing_is_answered(self):
-        # The node starts to leave while a caller keeps a connection. A request that is
-        # under way gets its answer, which says that the connection ends.
-        async def use(face, reader, writer):
+class ClosingTest(ListenerTest):
+    def test_a_request_sent_while_closing_starts_is_answered(self):
+        # The node starts to leave while a caller has an open connection. A request in flight
+        # gets its response, which announces the end of the connection.
+        async def use(listener, reader, writer):
             writer.write(b'GET / HTTP/1.1\r\nhost: a\r\n\r\n')
             await asyncio.sleep(1)
-            face.start_closing()
+            listener.start_closing()
             writer.write(b'GET / HTTP/1.1\r\nhost: a\r\n\r\n')
             return await reader.read()
 
-        answer = self.with_face(use)
-        self.assertEqual(2, answer.count(b'HTTP/1.1 200'))
-        self.assertEqual(1, answer.count(b'onnection: close'))
+        response = self.run_with_listener(use)
+        self.assertEqual(2, response.count(b'HTTP/1.1 200'))
+        self.assertEqual(1, response.count(b'onnection: close'))
 
-    def test_waiting_for_the_end_includes_the_sending(self):
-        # The caller reads slowly. The answer is whole in this process but not yet with the
-        # caller: closing now would cut it.
+    def test_wait_idle_waits_until_responses_are_sent(self):
+        # The caller reads slowly, so the response is still buffered in this process. Closing
+        # now would truncate it.
         self.response = HttpResponse(200, [], b'x' * 400_000)
 
-        async def use(face, reader, writer):
+        async def use(listener, reader, writer):
             writer.write(b'GET / HTTP/1.1\r\nhost: a\r\n\r\n')
-            face.start_closing()
+            listener.start_closing()
             await asyncio.sleep(0.1)
-            waiting = asyncio.get_running_loop().create_task(face.wait_idle())
+            wait_task = asyncio.get_running_loop().create_task(listener.wait_idle())
             await asyncio.sleep(1)
-            early = waiting.done()
-            answer = await reader.read()
-            await waiting
-            return early, len(answer)
+            done_before_read = wait_task.done()
+            response = await reader.read()
+            await wait_task
+            return done_before_read, len(response)
 
-        early, size = self.with_face(use)
-        self.assertFalse(early)
+        done_before_read, size = self.run_with_listener(use)
+        self.assertFalse(done_before_read)
         self.assertGreater(size, 400_000)
 
 
-class SentAheadTest(FaceTest):
-    def test_repeatable_requests_run_together_and_are_answered_in_order(self):
+class PipeliningTest(ListenerTest):
+    def test_safe_requests_run_concurrently_and_are_answered_in_order(self):
         async def handle(req):
             self.handled.append(req.path)
             await asyncio.sleep(float(req.header(b'sleep')))
             return HttpResponse(200, [], req.path.encode())
 
         async def scenario():
-            face = HttpListener(handle, LIMITS, pipeline=8)
-            await face.listen(FACE)
-            reader, writer = await asyncio.open_connection(FACE.host, FACE.port)
+            listener = HttpListener(handle, LIMITS, pipeline=8)
+            await listener.listen(ADDRESS)
+            reader, writer = await asyncio.open_connection(ADDRESS.host, ADDRESS.port)
             loop = asyncio.get_running_loop()
-            began = loop.time()
+            started_at = loop.time()
             for path, seconds in ((b'/1', b'3'), (b'/2', b'1'), (b'/3', b'2')):
                 writer.write(b'GET %s HTTP/1.1\r\nhost: a\r\nsleep: %s\r\n\r\n' % (path, seconds))
             await asyncio.sleep(3.5)
-            answers = await reader.read(65536)
+            responses = await reader.read(65536)
             writer.write(b'POST /4 HTTP/1.1\r\nhost: a\r\nsleep: 1\r\ncontent-length: 0\r\n\r\n')
             writer.write(b'GET /5 HTTP/1.1\r\nhost: a\r\nsleep: 1\r\n\r\n')
             await asyncio.sleep(0.5)
-            begun = list(self.handled)
+            started = list(self.handled)
             writer.close()
-            face.close()
-            return answers, begun, loop.time() - began
-
-        answers, begun, _ = self.run_paused(scenario())
-        places = [answers.index(path) for path in (b'/1', b'/2', b'/3')]
-        self.assertEqual(sorted(places), places)
-        # What changes something runs alone: the one behind it has not begun.
-        self.assertEqual(['/1', '/2', '/3', '/4'], begun)
-
-    def test_closing_waits_for_all_that_was_begun(self):
-        # The face begins to close while three requests of one connection run. Each of them
-        # may have been passed on, so each is answered; the last answer tells of the closing.
+            listener.close()
+            return responses, started, loop.time() - started_at
+
+        responses, started, _ = self.run_paused(scenario())
+        positions = [responses.index(path) for path in (b'/1', b'/2', b'/3')]
+        self.assertEqual(sorted(positions), positions)
+        # A request that is not safe runs alone: the one after it has not started.
+        self.assertEqual(['/1', '/2', '/3', '/4'], started)
+
+    def test_closing_waits_for_all_started_requests(self):
+        # The listener starts closing while three requests of one connection run. Each may have
+        # been forwarded already, so each is answered; the last response announces the close.
         async def scenario():
-            face = HttpListener(self.handle, LIMITS, pipeline=8)
-            await face.listen(FACE)
-            reader, writer = await asyncio.open_connection(FACE.host, FACE.port)
+            listener = HttpListener(self.handle, LIMITS, pipeline=8)
+            await listener.listen(ADDRESS)
+            reader, writer = await asyncio.open_connection(ADDRESS.host, ADDRESS.port)
             for seconds in (b'1', b'2', b'3'):
                 writer.write(b'GET / HTTP/1.1\r\nhost: a\r\nsleep: %s\r\n\r\n' % seconds)
             await asyncio.sleep(0.5)
-            face.start_closing()
-            answers = await asyncio.wait_for(reader.read(), 10)
+            listener.start_closing()
+            responses = await asyncio.wait_for(reader.read(), 10)
             writer.close()
-            face.close()
-            return answers
+            listener.close()
+            return responses
 
-        answers = self.run_paused(scenario())
-        self.assertEqual(3, answers.count(b'HTTP/1.1 200'))
-        self.assertEqual(1, answers.count(b'connection: close'))
+        responses = self.run_paused(scenario())
+        self.assertEqual(3, responses.count(b'HTTP/1.1 200'))
+        self.assertEqual(1, responses.count(b'connection: close'))
         self.assertEqual(0, self.cancelled)
