--- a/dunlinsaddle/calls/client.py
+++ b/dunlinsaddle/calls/client.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 client with connection reuse; tells requests never sent from those that were lost."""
+"""HTTP/1.1 client with connection reuse; distinguishes unsent requests from lost ones."""
 
 import asyncio
 from collections.abc import Callable
--- a/dunlinsaddle/calls/connection.py
+++ b/dunlinsaddle/calls/connection.py
@@ -105,7 +105,7 @@
         return self.result_future
 
     def is_reusable(self, max_idle_seconds: float) -> bool:
-        """Return whether it is open and its last response is at most that many seconds old."""
+        """Return whether it is open and received a response within ``max_idle_seconds``."""
         is_recent = self.loop.time() - self.last_response_at <= max_idle_seconds
         return is_recent and not self.closed and not self.transport.is_closing()
 
@@ -132,7 +132,7 @@
         if self.reader.broken:
             self.abort(Lost('the received bytes are not a response', ErrorKind.INCOMPLETE_ANSWER))
         elif not self.allow_close_delimited and self.reader.is_close_delimited:
-            # A truncated body could not be told from a complete one.
+            # A truncated body could not be distinguished from a complete one.
             self.abort(Lost('the response has no length', ErrorKind.OUTCOME_UNKNOWN))
 
     def _complete(self, message: ResponseMessage, *, has_extra: bool) -> None:
--- a/dunlinsaddle/calls/decisions.py
+++ b/dunlinsaddle/calls/decisions.py
@@ -34,9 +34,9 @@
     OMITTED = 'decisions left out'
 
 
-#: For each event. A line takes 23 us (of a failed request, written to a file), so all 210 lines
-#: take half a percent of a core. Refusals come in bursts of hundreds; a sample of 50 is enough to
-#: show the cause.
+#: For each event. A line takes 23 us (of a failed request, written to a file that never blocks),
+#: so all 210 lines take half a percent of a core. Refusals come in bursts of hundreds; a sample
+#: of 50 is enough to show the cause.
 MAX_LINES_PER_SECOND = {
     Event.ROUTED: 4,
     Event.SENT: 4,
--- a/dunlinsaddle/calls/member_calls.py
+++ b/dunlinsaddle/calls/member_calls.py
@@ -25,8 +25,8 @@
     ) -> Reply | NotSent | Lost:
         """Send a call; for the two options see the fields of ``Call``."""
         loop = asyncio.get_running_loop()
-        handed = work.allowance.delegate()
-        call = build_call_frame(work, loop.time(), handed)
+        handed_tokens = work.allowance.delegate()
+        call = build_call_frame(work, loop.time(), handed_tokens)
         call.owner_lookups, call.owner_approved = owner_lookups, owner_approved
         self.router.record_sent(member.instance)
         try:
@@ -37,11 +37,11 @@
         match reply:
             case Reply():
                 self.router.record_answer(loop.time(), member.instance, reply.load)
-                work.allowance.reclaim(handed, reply.unspent_retry_tokens)
+                work.allowance.reclaim(handed_tokens, reply.unspent_retry_tokens)
                 reply.unspent_retry_tokens = work.allowance.tokens
             case NotSent():
                 self.router.record_failure(loop.time(), member.instance)
-                work.allowance.reclaim(handed, handed)
+                work.allowance.reclaim(handed_tokens, handed_tokens)
             case Lost():
                 self.router.record_failure(loop.time(), member.instance)
         return reply
--- a/dunlinsaddle/calls/target.py
+++ b/dunlinsaddle/calls/target.py
@@ -117,5 +117,5 @@
         self._connection_refused = True
 
     def clear(self) -> None:
-        """Remove the target after it has gone."""
+        """Forget the target, which has left."""
         self.service, self.address = '', None
--- a/tests/test_client.py
+++ b/tests/test_client.py
@@ -216,8 +216,8 @@
 class SilentConnectionTest(ClientTest):
     async def drop_first_connection(self, connection, data):
         """Answer one request on the first connection, then none; other connections work."""
-        self.seen = getattr(self, 'seen', 0) + 1
-        if connection.number > 1 or self.seen == 1:
+        self.request_count = getattr(self, 'request_count', 0) + 1
+        if connection.number > 1 or self.request_count == 1:
             connection.write(ok_response(b'%d' % connection.number))
 
     def test_a_connection_that_was_idle_too_long_is_not_reused(self):
@@ -360,8 +360,8 @@
         # The open connections to the platform are silently dropped; new ones work. One call
         # times out and closes the other idle connections, so the next call succeeds at once.
         async def script(connection, data):
-            self.seen = getattr(self, 'seen', 0) + 1
-            if self.seen <= 3 or connection.number > 3:
+            self.request_count = getattr(self, 'request_count', 0) + 1
+            if self.request_count <= 3 or connection.number > 3:
                 await asyncio.sleep(0.01)
                 connection.write(ok_response(b'{"items": [], "atRevision": 1}'))
 
@@ -371,12 +371,12 @@
             await asyncio.gather(*(store.list('records') for _ in range(3)))
             started_at = loop.time()
             first = await store.list('records')
-            lost_after = loop.time() - started_at
+            failed_after = loop.time() - started_at
             second = await store.list('records')
-            return first, lost_after, second, loop.time() - started_at - lost_after
+            return first, failed_after, second, loop.time() - started_at - failed_after
 
-        first, lost_after, second, elapsed = self.run_with_target(script, use)
+        first, failed_after, second, elapsed = self.run_with_target(script, use)
         self.assertTrue(first.is_err())
-        self.assertAlmostEqual(CALL_TIMEOUT, lost_after, delta=0.05)
+        self.assertAlmostEqual(CALL_TIMEOUT, failed_after, delta=0.05)
         self.assertTrue(second.is_ok())
         self.assertLess(elapsed, 0.1)
--- a/tests/test_link.py
+++ b/tests/test_link.py
@@ -216,16 +216,16 @@
 
 
 class HandshakeTest(LinkTest):
-    def test_a_wrong_key_is_refused_and_the_call_was_not_sent(self):
+    def test_a_wrong_key_is_rejected_and_the_call_is_not_sent(self):
         # The nodes have different keys. The call is never sent, so it is certain not to have
         # run.
         async def use(links, peer):
             result = await links.call(PEER, build_call())
             return result, peer.started, peer.server.rejected_handshakes
 
-        result, started, refused = self.run_with_peer(use, key='another-key')
+        result, started, rejected = self.run_with_peer(use, key='another-key')
         self.assertIsInstance(result, NotSent)
-        self.assertEqual((0, 1), (started, refused))
+        self.assertEqual((0, 1), (started, rejected))
 
     def test_a_listener_without_the_key_gets_no_call(self):
         # Another process listens at the old address of a peer and accepts any Hello. It must
@@ -286,8 +286,8 @@
         # node are reported as not sent, so that they can go elsewhere.
         async def use(links, peer):
             await links.call(PEER, build_call(path='0'))
-            (serving,) = peer.server.links
-            serving.transport.pause_reading()
+            (server_link,) = peer.server.links
+            server_link.transport.pause_reading()
             loop = asyncio.get_running_loop()
             body = b'x' * 500_000
             calls = (links.call(PEER, build_call(path='0', body=body)) for _ in range(50))
@@ -295,7 +295,7 @@
             return await asyncio.gather(*tasks)
 
         results = self.run_with_peer(use)
-        kinds = [type(e) for e in results]
+        kinds = [type(result) for result in results]
         self.assertGreater(kinds.count(NotSent), 40)
         self.assertEqual(50, kinds.count(NotSent) + kinds.count(Lost))
 
