--- a/dunlinsaddle/calls/dispatch.py
+++ b/dunlinsaddle/calls/dispatch.py
@@ -241,7 +241,7 @@
 
     def _timed(self, ctx: CallContext, member: Member, began: float, *, whole: bool) -> float:
         now = self.now()
-        self.router.record_duration(now, member.instance, ctx.rule, now - began, whole=whole)
+        self.router.record_duration(now, member.instance, ctx.rule, now - began, completed=whole)
         return round(now - began, 4)
 
     def _judge(
--- a/dunlinsaddle/policy/key_table.py
+++ b/dunlinsaddle/policy/key_table.py
@@ -1,9 +1,9 @@
-"""What an owner remembers of the keys that it was given, in bounded memory.
+"""Table of the idempotency keys that an owner has run, in bounded memory.
 
-One rule keeps a key from running twice whatever the clocks do: an entry is dropped only once
-the floor has passed its birth, the floor never goes back, and no key born below the floor is
-ever run. A clock that jumps, a window that an operator changes and a full table all come down
-to a floor that rises: they cost refusals, never a second run.
+One rule prevents a key from running twice whatever the clocks do: an entry is dropped only once
+the floor is above its creation time (``birth``), the floor never falls, and no key created below
+the floor is ever run. A clock that jumps, a window that an operator changes and a full table only
+raise the floor: they cause refusals, never a second run.
 """
 
 import heapq
@@ -13,16 +13,16 @@
 
 from dunlinsaddle.errors import ErrorKind
 
-FUTURE_MARGIN_MS = 30_000  #: a key may be this much ahead of the owner's clock, ms
-MAX_KEYS = 50_000  #: keys held: a bound on memory
-MAX_ANSWER_BYTES = 16_384  #: of an answer that is kept: a bound on memory, by judgement
-MAX_TOTAL_ANSWER_BYTES = 16 << 20  #: of all that are kept: a bound on memory, by judgement
+FUTURE_MARGIN_MS = 30_000  #: how far a key's creation time may be ahead of the owner's clock
+MAX_KEYS = 50_000  #: bounds memory
+MAX_ANSWER_BYTES = 16_384  #: largest answer that is stored; bounds memory
+MAX_TOTAL_ANSWER_BYTES = 16 << 20  #: size of all stored answers; bounds memory
 
 Answer = TypeVar('Answer')
 
 
 class KeyState(Enum):
-    """How far a key has come; a key that provably did not run is not in the table."""
+    """Progress of a key; a key that provably did not run is not in the table."""
 
     RUNNING = 'running'
     DONE = 'done'
@@ -31,28 +31,28 @@
 
 @dataclass(frozen=True, slots=True)
 class KeyStarted:
-    """The key is new here and now counts as running."""
+    """The key was not in the table and now counts as running."""
 
 
 @dataclass(frozen=True, slots=True)
 class StoredAnswer(Generic[Answer]):
-    """The key has run; this is the answer that it got."""
+    """The key has run, and its answer is stored."""
 
     answer: Answer
 
 
 @dataclass(frozen=True, slots=True)
 class KeyRefused:
-    """The key may not be run; the kind says why."""
+    """The key may not be run, for the reason given by the kind."""
 
     kind: ErrorKind
 
 
 class KeyRecord(NamedTuple, Generic[Answer]):
-    """What another owner knew of a key at its end.
+    """A key's state in the table of an owner that hands it over.
 
-    ``done`` is false where the end of the run is not known; ``answer`` is None then, and where
-    it is no longer held. ``size`` is that of the answer in bytes.
+    ``done`` is false if the outcome of the run is unknown. ``answer`` is None in that case, and
+    if it is no longer stored. ``size`` is the size of the answer in bytes.
     """
 
     key: str
@@ -83,14 +83,14 @@
         self.floor = 0
         self.answer_bytes = 0
         self._entries: dict[str, _Entry[Answer]] = {}
-        self._births: list[tuple[int, str]] = []
-        self._answered: dict[str, None] = {}  # in the order of their ends
+        self._births: list[tuple[int, str]] = []  # a heap
+        self._answered: dict[str, None] = {}  # keys with a stored answer, the oldest first
 
     def __len__(self) -> int:
         return len(self._entries)
 
     def lookup(self, key: str, fingerprint: int) -> StoredAnswer[Answer] | KeyRefused | None:
-        """Say what is known of a key; None for a key that is not in the table."""
+        """Return the result for a key in the table, or None for one that is not in it."""
         entry = self._entries.get(key)
         if entry is None:
             return None
@@ -106,12 +106,12 @@
         return StoredAnswer(entry.answer)
 
     def begin(self, key: str, birth: int, fingerprint: int, now: int) -> KeyStarted | KeyRefused:
-        """Take a key that ``lookup`` does not know, unless its age forbids it."""
+        """Add a key for which ``lookup`` returned None, unless its age does not permit it."""
         if birth < self.floor:
             return KeyRefused(ErrorKind.KEY_EXPIRED)
         if birth > now + FUTURE_MARGIN_MS:
             return KeyRefused(ErrorKind.KEY_IN_FUTURE)
-        self._make_room()
+        self._expire_if_full()
         if birth < self.floor:
             return KeyRefused(ErrorKind.KEY_EXPIRED)
         self._entries[key] = _Entry(birth, fingerprint)
@@ -119,7 +119,7 @@
         return KeyStarted()
 
     def complete(self, key: str, answer: Answer, size: int) -> None:
-        """Note the end of a run with its answer, which takes ``size`` bytes."""
+        """Record the end of a run with its answer, which takes ``size`` bytes."""
         entry = self._entries.get(key)
         if entry is None:
             return
@@ -133,50 +133,50 @@
             self._drop_answer(next(iter(self._answered)))
 
     def mark_unknown(self, key: str) -> None:
-        """Note a run whose end cannot be told: it stays so."""
+        """Record that the outcome of a run is unknown; this is final."""
         entry = self._entries.get(key)
         if entry is not None:
             entry.state = KeyState.UNKNOWN
 
     def forget(self, key: str) -> None:
-        """Forget a key on the proof that it did not run: it may be sent again."""
+        """Remove a key that provably did not run, so that it may be sent again."""
         self._entries.pop(key, None)
 
     def export_records(self) -> list[KeyRecord[Answer]]:
-        """Give all that is known, for the next owners; a key that still runs counts as unknown."""
+        """Return all records for the next owners; a key that still runs counts as unknown."""
         return [
             KeyRecord(key, e.birth, e.fingerprint, e.state is KeyState.DONE, e.answer, e.size)
             for key, e in self._entries.items()
         ]
 
-    def import_record(self, known: KeyRecord[Answer]) -> None:
-        """Remember what a former owner knew, in at most half of the table's room.
+    def import_record(self, record: KeyRecord[Answer]) -> None:
+        """Add a former owner's record while such records take up to half of the table.
 
-        Beyond that it is left out and stays unknown: room for it must not raise the floor, for
-        that would expire keys which this node owns itself.
+        Further records are dropped, and their keys remain unknown: making space for them would
+        raise the floor and so expire keys that this node owns itself.
         """
         full = len(self._births) >= self.max_keys // 2
-        if full or known.key in self._entries or known.birth < self.floor:
+        if full or record.key in self._entries or record.birth < self.floor:
             return
-        self._entries[known.key] = _Entry(known.birth, known.fingerprint)
-        heapq.heappush(self._births, (known.birth, known.key))
-        if not known.done:
-            self.mark_unknown(known.key)
-        elif known.answer is None or self.answer_bytes + known.size > self.max_bytes // 2:
-            self._entries[known.key].state = KeyState.DONE
+        self._entries[record.key] = _Entry(record.birth, record.fingerprint)
+        heapq.heappush(self._births, (record.birth, record.key))
+        if not record.done:
+            self.mark_unknown(record.key)
+        elif record.answer is None or self.answer_bytes + record.size > self.max_bytes // 2:
+            self._entries[record.key].state = KeyState.DONE
         else:
-            self.complete(known.key, known.answer, known.size)
+            self.complete(record.key, record.answer, record.size)
 
     def raise_floor(self, floor: int) -> None:
-        """Drop all keys born before ``floor``; none of them is ever run any more."""
+        """Drop all keys created before ``floor``; none of them is ever run again."""
         self.floor = max(self.floor, floor)
         while self._births and self._births[0][0] < self.floor:
             _, key = heapq.heappop(self._births)
             self._drop_answer(key)
             self._entries.pop(key, None)
 
-    def _make_room(self) -> None:
-        # Refused keys leave their births behind, so it is the heap that has to be bounded.
+    def _expire_if_full(self) -> None:
+        # Keys removed by forget() stay in the heap, so the size of the heap is bounded.
         if len(self._births) >= self.max_keys:
             self.raise_floor(self._births[0][0] + 1)
 
--- a/dunlinsaddle/policy/route.py
+++ b/dunlinsaddle/policy/route.py
@@ -1,44 +1,43 @@
-"""Which target of a service a call goes to, with views that may be stale."""
-
+"""Choice of the target of a service for a call, from membership views that may be stale."""
 from collections.abc import Sequence
+from dunlinsaddle.policy.admission import Load
+from dunlinsaddle.policy.relative_latency import FORGET_SECONDS, RelativeLatencies
 from math import exp, inf
 from random import Random
 from typing import NamedTuple, TypedDict
 
-from dunlinsaddle.policy.admission import Load
-from dunlinsaddle.policy.relative_latency import FORGET_SECONDS, RelativeLatencies
-
-#: Calls in a row without an answer; one or two happen at a sound target that restarts.
+#: One or two consecutive calls without an answer also happen at a healthy target that restarts.
 CONSECUTIVE_FAILURES_TO_EJECT = 3
-BASE_EJECTION_SECONDS = 2.0  #: seconds; by judgement: a target that restarts is back after some
-#: Seconds; by judgement, so that a target that is back is found within half a minute.
+#: Pause after the first ejection, doubled by each further one: a restart takes about as long.
+BASE_EJECTION_SECONDS = 2.0
+#: Bounds the pause, so that a target that has recovered is used again within half a minute.
 MAX_EJECTION_SECONDS = 30.0
-MAX_EJECTED_SHARE = 0.5  #: never leave out a larger share of a service's targets than this
-AVOID_LEAVING_SECONDS = 5.0  #: seconds; by then the news that it is leaving has reached every view
-OTHER_DOMAIN_COST_FACTOR = (
-    1.5  #: cost of another failure domain: a near target is left when it is half fuller
-)
-SAME_DOMAIN_COST_FACTOR = 1.1  #: cost of another node's target in the same domain: one hop more
-ERROR_COST_WEIGHT = 4.0  #: a target that fails every call costs five times as much; by judgement
-ERROR_SHARE_DECAY = 0.9  #: what one call leaves of the share of errors: some ten calls count
-#: Times that a target must take as long as another before that counts, its errors included.
-#: Targets of one service differ in speed by up to 2.3 by nature, and their load shows it well
-#: enough; errors weigh as much from four in ten calls.
+MAX_EJECTED_SHARE = 0.5  #: largest share of a service's targets that may be ejected at once
+AVOID_LEAVING_SECONDS = 5.0  #: within this time every membership view shows the target as leaving
+#: Cost of a target in another failure domain relative to one on this node: calls cross to another
+#: domain when the nearer target is half as full again.
+OTHER_DOMAIN_COST_FACTOR = 1.5
+SAME_DOMAIN_COST_FACTOR = 1.1  #: cost of another node's target in the same domain: one more hop
+ERROR_COST_WEIGHT = 4.0  #: a target that fails every call costs five times as much
+ERROR_SHARE_DECAY = 0.9  #: moving average over about ten calls
+#: Ratio of expected latencies, failed attempts included, above which a target counts as slow.
+#: Healthy targets of one service differ by up to 2.3, which their reported load reflects well
+#: enough. An error share of 0.4 alone also exceeds the ratio.
 SLOW_TARGET_RATIO = 2.5
-#: What a target costs at least beside one that is so much better: as if four fifths of its slots
-#: were taken. By its load alone it is idle as long as it is passed over, and so is chosen again.
+#: Least cost of a slow target compared with a faster one, as if four fifths of its slots were in
+#: use. By load alone a slow target looks idle while it gets no calls, and would be chosen again.
 MIN_SLOW_TARGET_COST = 0.8
-#: Seconds after which a rate is asked for anew at the latest, however small an entry's part of it.
-#: Among hundreds of entries that is some tens of calls a second, of which those that the target
-#: does not take go elsewhere.
+#: Age after which a target's rate is asked for again, however small this node's part of the rate.
+#: With hundreds of sending nodes these are some tens of calls per second, and the calls that the
+#: target refuses go to other targets.
 MAX_RATE_AGE_SECONDS = 10.0
 
-#: Lists of candidates that are held; a service has one at a time, and a deployment some hundred.
+#: Bounds the cache of usable candidates; a deployment needs some hundred lists, one per service.
 MAX_CACHED_LISTS = 512
 
 
 class Candidate(NamedTuple):
-    """A target that could take the call, by the instance of its node."""
+    """A target that could take the call, identified by the instance of its node."""
 
     instance: str
     domain: str
@@ -46,7 +45,7 @@
 
 
 class TargetReport(TypedDict):
-    """What a node knows of one target, for people."""
+    """What a node knows about one target, for operators."""
 
     instance: str
     domain: str
@@ -54,15 +53,15 @@
     outstanding: int
     error_share: float
     left_out_for: float  #: seconds
-    pace: float  #: times of its calls as a share of what such calls take; 1 is the mean
+    pace: float  #: duration of its calls relative to the mean of all targets; 1 is the mean
 
 
-class _Seen:
-    """What this node has learned of one target from its own calls."""
+class _TargetStats:
+    """Statistics about one target, from the calls that this node has sent to it."""
 
     __slots__ = (
-        '_errors',
-        '_judged_at',
+        '_error_share',
+        '_error_share_at',
         'avoid_until',
         'ejections',
         'failures',
@@ -79,26 +78,26 @@
         self.failures = 0
         self.ejections = 0
         self.avoid_until = 0.0
-        self.rate = inf  #: calls a second that it takes from all nodes
-        self.rate_use = 0.0  #: the share of it that was used when it was told
-        self.rate_told_at = 0.0
-        self._errors = 0.0
-        self._judged_at = 0.0
-
-    def judged(self, now: float, *, failed: bool) -> None:
-        self._errors = self.errors(now) * ERROR_SHARE_DECAY + (
+        self.rate = inf  #: calls per second that the target admits from all nodes together
+        self.rate_use = 0.0  #: share of the rate in use when the target reported it
+        self.rate_told_at = 0.0  #: time of the last report of the rate
+        self._error_share = 0.0
+        self._error_share_at = 0.0
+
+    def record_outcome(self, now: float, *, failed: bool) -> None:
+        self._error_share = self.error_share(now) * ERROR_SHARE_DECAY + (
             1 - ERROR_SHARE_DECAY if failed else 0
         )
-        self._judged_at = now
+        self._error_share_at = now
 
-    def use_of_rate(self, now: float, sender_count: int) -> float:
-        """Give the share of its rate that one more call would make used, as far as known.
+    def rate_use_after_call(self, now: float, sender_count: int) -> float:
+        """Return the estimated share of the target's rate in use after one more call.
 
-        A target whose rate is used up is asked again by one call after the time in which one of
-        so many entries has its even part of the rate: the answer tells the rate and its use.
-        Failure: a target names next to no rate, is passed over for it, and nobody hears of its
-        end; or hundreds of entries, each with a call now and then, take what they heard a second
-        ago for old, and half of all calls are turned away there first.
+        When the report is so old that this node's equal part of the rate allows one call, return
+        0: that call learns the current rate and its use. Without it a target that once reported
+        a rate near zero would never be called again, and this node would not learn that the limit
+        has ended. The age depends on the number of senders: when each of hundreds of senders
+        considered a report outdated after a second, the target refused half of all calls.
         """
         if self.rate == inf:
             return 0.0
@@ -107,28 +106,33 @@
             return 0.0
         return self.rate_use + (self.load.waiting + self.outstanding + 1) / self.rate
 
-    def errors(self, now: float) -> float:
-        return self._errors * exp((self._judged_at - now) / FORGET_SECONDS)
+    def error_share(self, now: float) -> float:
+        return self._error_share * exp((self._error_share_at - now) / FORGET_SECONDS)
 
 
-class _Usable(NamedTuple):
-    """Who of a list of candidates may be given calls, as long as nothing about it changes."""
+class _CandidateSelection(NamedTuple):
+    """The usable part of a list of candidates, valid until an exclusion changes or expires."""
 
-    candidates: Sequence[Candidate]  #: held here, so that no other list takes its identity
-    changes: int  #: of who is left out, up to which this was worked out
-    until: float  #: the first of those left out counts again then
+    candidates: Sequence[Candidate]  #: kept alive here, so that no other list gets the same id()
+    exclusion_version: int  #: the router's version when this selection was made
+    until: float  #: time at which the first exclusion expires
     usable: list[Candidate]
-    near: list[Candidate]  #: those in the failure domain of this node
+    same_domain: list[Candidate]  #: the usable candidates in this node's failure domain
 
-    def holds(self, now: float, candidates: Sequence[Candidate], changes: int) -> bool:
-        return candidates is self.candidates and changes == self.changes and now < self.until
+    def is_valid(self, now: float, candidates: Sequence[Candidate], exclusion_version: int) -> bool:
+        return (
+            candidates is self.candidates
+            and exclusion_version == self.exclusion_version
+            and now < self.until
+        )
 
 
 class Router:
-    """Two choices weighted by the load that rides back on answers, the near one preferred.
+    """Chooses the cheaper of two random targets, by the load reported in their responses.
 
-    A target that nothing is known of yet counts as a small one (``Load()``), so a fresh
-    instance is given work as its answers show that it can take it.
+    One of the two comes from this node's failure domain if possible. A target without a reported
+    load counts as small (``Load()``): a new instance gets more calls as its responses show that
+    it can take them.
     """
 
     def __init__(self, domain: str, rng: Random, instance: str = '') -> None:
@@ -136,181 +140,194 @@
         self.rng = rng
         self.instance = instance
         self.sender_count = 1  #: nodes that may send calls to the same targets
-        self._seen: dict[str, _Seen] = {}
+        self._stats: dict[str, _TargetStats] = {}
         self._paces = RelativeLatencies()
-        self._usables: dict[int, _Usable] = {}  #: by the identity of the list of candidates
-        self._left_out_changes = 0
+        self._selections: dict[int, _CandidateSelection] = {}  #: by id() of the list of candidates
+        self._exclusion_version = 0
 
     def choose(
         self, now: float, candidates: Sequence[Candidate], tried: frozenset[str] = frozenset()
     ) -> Candidate | None:
-        """Give the target for a call, never one that was tried for it already."""
+        """Return the target for a call, or None if each candidate was tried for it already."""
         if tried:
-            # A call that was sent before: few are, so it is worked out anew.
-            found = self._found(now, [c for c in candidates if c.instance not in tried])
+            # Only resent calls get here. They are rare, so the selection is not cached.
+            selection = self._select(now, [c for c in candidates if c.instance not in tried])
         else:
-            found = self._known(now, candidates)
-        usable = found.usable
+            selection = self._cached_selection(now, candidates)
+        usable = selection.usable
         if not usable:
             return None
-        first = self.rng.choice(found.near or usable)
+        first = self.rng.choice(selection.same_domain or usable)
         second = self.rng.choice(usable)
         if first is second:
-            # Drawn twice, a bad one would be compared with nobody. Usual ones may be: what is
-            # known of their load is renewed so.
-            if self._of(first.instance).use_of_rate(now, self.sender_count) > 1:
+            # Without a second candidate a slow or rate-limited target would be chosen
+            # unopposed. A target of usual speed is used, which renews its reported load.
+            if self._stats_of(first.instance).rate_use_after_call(now, self.sender_count) > 1:
                 return min(usable, key=lambda c: self._cost(now, c))
-            second = min(usable, key=lambda c: self._hardship(now, c))
-            if self._hardship(now, first) <= SLOW_TARGET_RATIO * self._hardship(now, second):
+            second = min(usable, key=lambda c: self._expected_latency(now, c))
+            if self._expected_latency(now, first) <= SLOW_TARGET_RATIO * self._expected_latency(
+                now, second
+            ):
                 return first
-        return self._better(now, first, second)
+        return self._cheaper(now, first, second)
 
-    def _better(self, now: float, first: Candidate, second: Candidate) -> Candidate:
-        one, other = self._cost(now, first), self._cost(now, second)
-        hard_one, hard_other = self._hardship(now, first), self._hardship(now, second)
-        if hard_one > SLOW_TARGET_RATIO * hard_other:
-            one = max(one, MIN_SLOW_TARGET_COST)
-        elif hard_other > SLOW_TARGET_RATIO * hard_one:
-            other = max(other, MIN_SLOW_TARGET_COST)
-        return first if one <= other else second
+    def _cheaper(self, now: float, first: Candidate, second: Candidate) -> Candidate:
+        first_cost, second_cost = self._cost(now, first), self._cost(now, second)
+        first_latency, second_latency = (
+            self._expected_latency(now, first),
+            self._expected_latency(now, second),
+        )
+        if first_latency > SLOW_TARGET_RATIO * second_latency:
+            first_cost = max(first_cost, MIN_SLOW_TARGET_COST)
+        elif second_latency > SLOW_TARGET_RATIO * first_latency:
+            second_cost = max(second_cost, MIN_SLOW_TARGET_COST)
+        return first if first_cost <= second_cost else second
 
     def record_sent(self, instance: str) -> None:
-        """Note a call on its way."""
-        self._of(instance).outstanding += 1
+        """Count a call that is being sent to a target."""
+        self._stats_of(instance).outstanding += 1
 
     def record_answer(
         self, now: float, instance: str, load: Load | None, *, error: bool = False
     ) -> None:
-        """Note an answer and the load it brought; ``error`` for an answer of status 5xx.
+        """Record a response and the load it reports; ``error`` for a response of status 5xx.
 
-        A target that fails at once looks idle, and would draw ever more calls: its share of
-        errors raises its cost. The share fades, or a target that is left out for it would
-        never get the calls that show it sound again.
+        A target that fails immediately looks idle and would attract ever more calls, so its
+        share of errors raises its cost. The share decays over time: otherwise a target avoided
+        for its errors would never get the calls that show its recovery.
         """
-        seen = self._of(instance)
-        seen.outstanding -= 1
-        seen.failures = 0
-        seen.judged(now, failed=error)
+        stats = self._stats_of(instance)
+        stats.outstanding -= 1
+        stats.failures = 0
+        stats.record_outcome(now, failed=error)
         if not error:
-            seen.ejections = 0
+            stats.ejections = 0
         if load is not None:
-            seen.load = load
+            stats.load = load
 
-    def record_rate(self, now: float, instance: str, rate: float | None, use: float = 0.0) -> None:
-        """Note the rate that a target names and the share of it that is used; None for none."""
-        seen = self._of(instance)
-        seen.rate = inf if rate is None else rate
-        seen.rate_use = use
-        seen.rate_told_at = now
+    def record_rate(
+        self, now: float, instance: str, rate: float | None, used_share: float = 0.0
+    ) -> None:
+        """Record the rate limit that a target reports, None for no limit, and the share in use."""
+        stats = self._stats_of(instance)
+        stats.rate = inf if rate is None else rate
+        stats.rate_use = used_share
+        stats.rate_told_at = now
 
     def record_duration(
-        self, now: float, instance: str, rule: str, seconds: float, *, whole: bool = True
+        self, now: float, instance: str, rule: str, seconds: float, *, completed: bool = True
     ) -> None:
-        """Note how long a call took; unless ``whole``, its answer would have taken longer."""
-        self._paces.record(now, instance, rule, seconds, whole=whole)
+        """Record how long a call took; one not ``completed`` would have taken longer."""
+        self._paces.record(now, instance, rule, seconds, whole=completed)
 
     def record_failure(self, now: float, instance: str) -> None:
-        """Note a call that got no answer.
+        """Record a call that got no response, and eject the target after several in a row.
 
-        Failure: a target resets most calls at once, and answers one now and then, so that it is
-        never left out; it looks idle, and draws first and second tries. Its share of errors
-        raises its cost. With two of three such targets 114 of 150 calls failed, then 4.
+        A target that resets most calls immediately but answers one now and then is never
+        ejected. It looks idle and attracts first and second attempts, so its share of errors
+        raises its cost: with two of three such targets that reduces failures from 114 to 4 of
+        150 calls.
         """
-        seen = self._of(instance)
-        seen.outstanding -= 1
-        seen.judged(now, failed=True)
-        seen.failures += 1
-        if seen.failures < CONSECUTIVE_FAILURES_TO_EJECT:
+        stats = self._stats_of(instance)
+        stats.outstanding -= 1
+        stats.record_outcome(now, failed=True)
+        stats.failures += 1
+        if stats.failures < CONSECUTIVE_FAILURES_TO_EJECT:
             return
-        pause = min(BASE_EJECTION_SECONDS * 2.0**seen.ejections, MAX_EJECTION_SECONDS)
-        seen.ejections += 1
-        self._leave_out(seen, now + pause)
+        pause = min(BASE_EJECTION_SECONDS * 2.0**stats.ejections, MAX_EJECTION_SECONDS)
+        stats.ejections += 1
+        self._exclude(stats, now + pause)
 
     def avoid_leaving(self, now: float, instance: str) -> None:
-        """Leave a target out for a while that says it is leaving: the view is older than it."""
-        self._leave_out(self._of(instance), now + AVOID_LEAVING_SECONDS)
+        """Exclude a target that reports that it is leaving, before the view shows it."""
+        self._exclude(self._stats_of(instance), now + AVOID_LEAVING_SECONDS)
 
-    def _leave_out(self, seen: _Seen, until: float) -> None:
-        seen.avoid_until = until
-        self._left_out_changes += 1
+    def _exclude(self, stats: _TargetStats, until: float) -> None:
+        stats.avoid_until = until
+        self._exclusion_version += 1
 
     def forget(self, instance: str) -> None:
-        """Drop what is known of an instance that has gone."""
-        self._seen.pop(instance, None)
+        """Drop the statistics of an instance that is gone."""
+        self._stats.pop(instance, None)
         self._paces.forget(instance)
-        self._left_out_changes += 1
+        self._exclusion_version += 1
 
     def latest_load(self, instance: str) -> Load:
-        """Give the load that a target's latest answer told of."""
-        seen = self._seen.get(instance)
-        return seen.load if seen else Load()
+        """Return the load that the target's latest response reported."""
+        stats = self._stats.get(instance)
+        return stats.load if stats else Load()
 
     def report(self, now: float, instance: str, domain: str) -> TargetReport:
-        """Give what is known of a target."""
-        seen = self._seen.get(instance) or _Seen()
+        """Return what this node knows about a target."""
+        stats = self._stats.get(instance) or _TargetStats()
         return TargetReport(
             instance=instance,
             domain=domain,
-            load=seen.load,
-            outstanding=seen.outstanding,
-            error_share=round(seen.errors(now), 3),
-            left_out_for=round(max(seen.avoid_until - now, 0.0), 3),
+            load=stats.load,
+            outstanding=stats.outstanding,
+            error_share=round(stats.error_share(now), 3),
+            left_out_for=round(max(stats.avoid_until - now, 0.0), 3),
             pace=round(self._paces.ratio(now, instance), 2),
         )
 
-    def _known(self, now: float, candidates: Sequence[Candidate]) -> '_Usable':
-        """Give what was worked out for these candidates, unless something has changed since.
+    def _cached_selection(
+        self, now: float, candidates: Sequence[Candidate]
+    ) -> '_CandidateSelection':
+        """Return the usable part of a list of candidates, computed anew only if outdated.
 
-        Worked out for each call, it took 44 us of processor time among 71 targets, and a service
-        of hundreds makes each call dearer. The dispatcher hands in the same list while its view
-        stays as it is.
+        Without the cache each call spends 44 us of processor time with 71 targets, and more with
+        more targets. The dispatcher passes the same list until its membership view changes.
         """
-        held = self._usables.get(id(candidates))
-        if held is not None and held.holds(now, candidates, self._left_out_changes):
-            return held
-        if len(self._usables) >= MAX_CACHED_LISTS:
-            self._usables.clear()
-        ends = [self._of(c.instance).avoid_until for c in candidates]
+        cached = self._selections.get(id(candidates))
+        if cached is not None and cached.is_valid(now, candidates, self._exclusion_version):
+            return cached
+        if len(self._selections) >= MAX_CACHED_LISTS:
+            self._selections.clear()
+        ends = [self._stats_of(c.instance).avoid_until for c in candidates]
         until = min((end for end in ends if end > now), default=inf)
-        found = self._found(now, candidates)._replace(until=until)
-        self._usables[id(candidates)] = found
-        return found
+        selection = self._select(now, candidates)._replace(until=until)
+        self._selections[id(candidates)] = selection
+        return selection
 
-    def _found(self, now: float, candidates: Sequence[Candidate]) -> '_Usable':
+    def _select(self, now: float, candidates: Sequence[Candidate]) -> '_CandidateSelection':
         usable = self._usable(now, candidates)
-        near = [c for c in usable if c.domain == self.domain]
-        return _Usable(candidates, self._left_out_changes, now, usable, near)
+        same_domain = [c for c in usable if c.domain == self.domain]
+        return _CandidateSelection(candidates, self._exclusion_version, now, usable, same_domain)
 
-    def _usable(self, now: float, left: Sequence[Candidate]) -> list[Candidate]:
-        """Leave out suspects and the ejected, but never too many of them.
+    def _usable(self, now: float, candidates: Sequence[Candidate]) -> list[Candidate]:
+        """Return the candidates neither suspected nor excluded, or the best ones if too few remain.
 
-        When most targets fail alike the cause is this node, the network or the request, and
-        ejecting them would push all load onto the few that are left.
+        When most targets fail, the cause is this node, the network or the request, and ejecting
+        them all would direct the whole load to the few that remain.
         """
-        good = [c for c in left if not c.suspect and self._of(c.instance).avoid_until <= now]
-        fewest = len(left) * (1 - MAX_EJECTED_SHARE)
-        if good and len(good) >= fewest:
+        good = [
+            c for c in candidates if not c.suspect and self._stats_of(c.instance).avoid_until <= now
+        ]
+        min_count = len(candidates) * (1 - MAX_EJECTED_SHARE)
+        if good and len(good) >= min_count:
             return good
-        ordered = sorted(left, key=lambda c: (c.suspect, self._of(c.instance).avoid_until))
-        return ordered[: max(round(fewest), len(good), 1)]
+        ordered = sorted(
+            candidates, key=lambda c: (c.suspect, self._stats_of(c.instance).avoid_until)
+        )
+        return ordered[: max(round(min_count), len(good), 1)]
 
-    def _hardship(self, now: float, candidate: Candidate) -> float:
-        """Give how long a call takes there, as a share of the mean, tries that fail included."""
-        errors = self._of(candidate.instance).errors(now)
-        return self._paces.ratio(now, candidate.instance) * (1 + ERROR_COST_WEIGHT * errors)
+    def _expected_latency(self, now: float, candidate: Candidate) -> float:
+        """Return the duration of a call relative to the mean, including failed attempts."""
+        error_share = self._stats_of(candidate.instance).error_share(now)
+        return self._paces.ratio(now, candidate.instance) * (1 + ERROR_COST_WEIGHT * error_share)
 
-    def _of(self, instance: str) -> _Seen:
-        seen = self._seen.get(instance)
-        if seen is None:
-            seen = self._seen[instance] = _Seen()
-        return seen
+    def _stats_of(self, instance: str) -> _TargetStats:
+        stats = self._stats.get(instance)
+        if stats is None:
+            stats = self._stats[instance] = _TargetStats()
+        return stats
 
     def _cost(self, now: float, candidate: Candidate) -> float:
-        seen = self._of(candidate.instance)
-        load = seen.load
-        cost = (max(load.inflight, seen.outstanding) + load.waiting + 1) / max(load.limit, 1)
-        cost = max(cost, seen.use_of_rate(now, self.sender_count))
-        cost *= 1 + ERROR_COST_WEIGHT * seen.errors(now)
+        stats = self._stats_of(candidate.instance)
+        load = stats.load
+        cost = (max(load.inflight, stats.outstanding) + load.waiting + 1) / max(load.limit, 1)
+        cost = max(cost, stats.rate_use_after_call(now, self.sender_count))
+        cost *= 1 + ERROR_COST_WEIGHT * stats.error_share(now)
         if candidate.instance == self.instance:
             return cost
         return cost * (
