--- a/dunlinsaddle/calls/handlers.py
+++ b/dunlinsaddle/calls/handlers.py
@@ -10,9 +10,9 @@
 from dunlinsaddle.calls.messages import Reply, refusal
 from dunlinsaddle.calls.target import LocalTarget
 from dunlinsaddle.errors import ErrorKind, Failure, Outcome
+from dunlinsaddle.policy.callers import ResendGuard
 from dunlinsaddle.policy.classify import classify
 from dunlinsaddle.policy.context import CallContext, MAX_HOPS, inherit_priority, priority_of
-from dunlinsaddle.policy.resend_guard import ResendGuard
 from dunlinsaddle.policy.retry import RetryAllowance
 from dunlinsaddle.records.book import RecordBook
 from dunlinsaddle.records.models import Mode, RequestRule, ServiceRecord
--- a/dunlinsaddle/policy/classify.py
+++ b/dunlinsaddle/policy/classify.py
@@ -1,4 +1,4 @@
-"""Which rule of a record covers a request."""
+"""Selection of the rule of a service record that applies to a request."""
 
 from dunlinsaddle.records.models import Rank, RequestRule, ServiceRecord
 
@@ -6,10 +6,10 @@
 
 
 def classify(record: ServiceRecord, method: str, path: str) -> RequestRule:
-    """Give the first rule that matches, or a default by the method.
+    """Return the first rule that matches, or a default rule for the method.
 
-    Without a rule only the safe methods count as idempotent: a resend of an unknown POST
-    could do its work twice.
+    By default only the safe methods count as idempotent, as a resent POST could take effect
+    twice.
     """
     plain_path = path.partition('?')[0]
     for rule in record.rules:
@@ -19,7 +19,9 @@
 
 
 def path_matches(pattern: str, path: str) -> bool:
-    """Match a path against a pattern.
+    """Return whether a path matches a pattern.
+
+    ``*`` matches one segment, and a final ``**`` any number of them.
 
     >>> path_matches('/orders/*/release', '/orders/17/release')
     True
@@ -28,8 +30,10 @@
     >>> path_matches('/orders/*', '/orders/17/lines')
     False
     """
-    want = pattern.strip('/').split('/')
-    have = path.strip('/').split('/')
-    if want[-1] == '**':
-        want, have = want[:-1], have[: len(want) - 1]
-    return len(want) == len(have) and all(w in ('*', h) for w, h in zip(want, have, strict=True))
+    pattern_parts = pattern.strip('/').split('/')
+    path_parts = path.strip('/').split('/')
+    if pattern_parts[-1] == '**':
+        pattern_parts, path_parts = pattern_parts[:-1], path_parts[: len(pattern_parts) - 1]
+    return len(pattern_parts) == len(path_parts) and all(
+        part in ('*', actual) for part, actual in zip(pattern_parts, path_parts, strict=True)
+    )
--- a/dunlinsaddle/policy/keys.py
+++ b/dunlinsaddle/policy/keys.py
@@ -1,4 +1,4 @@
-"""Idempotency keys: UUIDv7 keys carry their time of birth, all others are opaque."""
+"""Idempotency keys: UUIDv7 keys contain their creation time, all others are opaque."""
 
 import hashlib
 import re
@@ -10,17 +10,17 @@
 import xxhash
 from result import Err, Ok, Result
 
-RANGE_COUNT = 64  #: per service
+RANGE_COUNT = 64  #: key ranges of each service
 MAX_KEY_LENGTH = 127
 _UUID = re.compile(r'[0-9a-f]{8}(-[0-9a-f]{4}){3}-[0-9a-f]{12}')
 _VARIANT_BITS = 0b10 << 62
 _VERSION_BITS = 7 << 76
-_BIRTH_SHIFT = 80
+_TIMESTAMP_SHIFT = 80
 
 
 @dataclass(frozen=True, slots=True)
 class TimestampedKey:
-    """A UUIDv7 (RFC 9562); ``birth`` is its own time stamp in Unix milliseconds."""
+    """A UUIDv7 (RFC 9562); ``birth`` is its creation time in Unix milliseconds."""
 
     text: str
     birth: int
@@ -28,13 +28,13 @@
 
 @dataclass(frozen=True, slots=True)
 class OpaqueKey:
-    """Any other key. Nothing tells how old it is."""
+    """Any other key, of unknown age."""
 
     text: str
 
     @property
     def object_name(self) -> str:
-        """The key in a form that can name an object of the platform."""
+        """The key in a form that is valid as the name of a platform object."""
         return hashlib.sha256(self.text.encode()).hexdigest()
 
 
@@ -42,40 +42,40 @@
 
 
 def parse_key(text: str) -> Result[Key, str]:
-    """Read an ``Idempotency-Key``; one pair of quotes is left out, a UUID's case is ignored.
+    """Parse an ``Idempotency-Key``; remove one pair of quotes and ignore the case of a UUID.
 
-    The two kinds never meet: what reads as a UUIDv7 is always a BornKey, however spelled.
+    A key that parses as a UUIDv7 is always a TimestampedKey, however it is written.
 
     >>> parse_key('"0193A2C0-0000-7000-8000-000000000001"').unwrap().text
     '0193a2c0-0000-7000-8000-000000000001'
     """
-    bare = text.strip()
-    if len(bare) >= 2 and bare[0] == bare[-1] == '"':
-        bare = bare[1:-1]
-    if not bare or not bare.isascii() or not bare.isprintable():
-        return Err('empty, or characters that cannot be printed')
-    if len(bare) > MAX_KEY_LENGTH:
+    value = text.strip()
+    if len(value) >= 2 and value[0] == value[-1] == '"':
+        value = value[1:-1]
+    if not value or not value.isascii() or not value.isprintable():
+        return Err('empty, or contains characters that are not printable ASCII')
+    if len(value) > MAX_KEY_LENGTH:
         return Err(f'longer than {MAX_KEY_LENGTH} characters')
-    lower = bare.lower()
+    lower = value.lower()
     if _UUID.fullmatch(lower):
         uuid = UUID(lower)
         if uuid.version == 7:
-            return Ok(TimestampedKey(lower, uuid.int >> _BIRTH_SHIFT))
-    return Ok(OpaqueKey(bare))
+            return Ok(TimestampedKey(lower, uuid.int >> _TIMESTAMP_SHIFT))
+    return Ok(OpaqueKey(value))
 
 
 def range_number(service: str, key: TimestampedKey) -> int:
-    """Give the range that a key falls in: the same whichever node is asked."""
+    """Return the number of the range that contains a key, which is the same at all nodes."""
     return xxhash.xxh64_intdigest(f'{service}\0{key.text}'.encode()) % RANGE_COUNT
 
 
 def generate_key(
     now: int, rng: Random, service: str, allowed_ranges: Collection[int] = ()
 ) -> TimestampedKey:
-    """Make a key born at ``now`` (ms), in one of the allowed_ranges ranges if any are named."""
+    """Generate a key created at ``now`` (ms), in one of the allowed ranges if any are given."""
     while True:
         low = rng.getrandbits(62) | _VARIANT_BITS
-        number = now << _BIRTH_SHIFT | _VERSION_BITS | rng.getrandbits(12) << 64 | low
+        number = now << _TIMESTAMP_SHIFT | _VERSION_BITS | rng.getrandbits(12) << 64 | low
         key = TimestampedKey(str(UUID(int=number)), now)
         if not allowed_ranges or range_number(service, key) in allowed_ranges:
             return key
--- a/dunlinsaddle/policy/naive.py
+++ b/dunlinsaddle/policy/naive.py
@@ -1,24 +1,13 @@
-"""The naive policy, to measure against: a fixed limit, first come first served."""
-
+"""The naive policy, a baseline for comparisons: a fixed concurrency limit and a FIFO queue."""
 from collections import deque
-
 from dunlinsaddle.errors import ErrorKind, Failure
-from dunlinsaddle.policy.admission import (
-    AdmissionDecision,
-    Dequeued,
-    Load,
-    Refuse,
-    Run,
-    Sample,
-    Ticket,
-    Wait,
-)
+from dunlinsaddle.policy.admission import AdmissionDecision, Dequeued, Load, Refuse, Run, Sample, Ticket, Wait
 
-RETRIES_PER_HOP = 3  #: what clients of common frameworks do unless told otherwise
+RETRIES_PER_HOP = 3  #: the default of clients in common frameworks
 
 
 class FixedLimit:
-    """So many calls run at once, the others wait in the order of their arrival."""
+    """Runs a fixed number of calls at a time; the others wait in order of arrival."""
 
     def __init__(self, limit: int, max_calls: int) -> None:
         self.limit = limit
@@ -27,7 +16,7 @@
         self.queue: deque[Ticket] = deque()
 
     def admit(self, now: float, ticket: Ticket) -> AdmissionDecision:
-        """Decide on a new call."""
+        """Run, queue or refuse a new call."""
         if self.inflight < self.limit and not self.queue:
             self.inflight += 1
             return Run()
@@ -37,22 +26,22 @@
         return Wait()
 
     def finish(self, now: float, ticket: Ticket, sample: Sample) -> None:
-        """Hear that a running call has ended."""
+        """Record the end of a running call."""
         self.inflight -= 1
 
     def pause(self, now: float, ticket: Ticket) -> None:
-        """Keep the place: the limit counts all calls."""
+        """Keep the slot of a call whose target waits for another service."""
 
     def resume(self, now: float, ticket: Ticket) -> None:
-        """Do nothing, for the place was kept."""
+        """Do nothing, as the call has kept its slot."""
 
     def cancel(self, ticket: Ticket) -> None:
-        """Take a waiting call out."""
+        """Remove a waiting call from the queue."""
         if ticket in self.queue:
             self.queue.remove(ticket)
 
     def dequeue(self, now: float) -> Dequeued:
-        """Say which waiting calls start now."""
+        """Return the waiting calls that start now."""
         started: list[Ticket] = []
         while self.queue and self.inflight < self.limit:
             self.inflight += 1
@@ -60,9 +49,9 @@
         return Dequeued(started, [])
 
     def seconds_to_next_start(self, now: float) -> float | None:
-        """Give None: only the end of a call makes room for another."""
+        """Return None: a waiting call starts only when a running one ends, never at a set time."""
         return None
 
     def load(self, now: float) -> Load:
-        """Give the load to report."""
+        """Return the load to report."""
         return Load(self.inflight, len(self.queue), self.limit)
--- a/dunlinsaddle/policy/quarantine.py
+++ b/dunlinsaddle/policy/quarantine.py
@@ -1,4 +1,4 @@
-"""Requests that targets died of: suspected after one death, refused after the second."""
+"""Requests that crashed targets: suspected after one crash, refused after the second."""
 
 from collections import OrderedDict
 from dataclasses import dataclass
@@ -6,12 +6,12 @@
 
 from dunlinsaddle.errors import ErrorKind, Failure
 
-DEATHS_TO_QUARANTINE = (
-    2  #: targets that one request may kill: the first death names no one, the second does
-)
-SUSPECT_SECONDS = 120.0  #: seconds; by judgement, longer than callers go on sending one request
-QUARANTINE_SECONDS = 900.0  #: seconds; as long as keys are remembered by default
-MAX_FINGERPRINTS = 10_000  #: requests held: a bound on memory
+#: Deaths (crashes) of targets before a request is refused. The first does not show which of the
+#: requests in progress caused it; the second does, as suspects run one at a time.
+DEATHS_TO_QUARANTINE = 2
+SUSPECT_SECONDS = 120.0  #: longer than callers keep resending a request
+QUARANTINE_SECONDS = 900.0  #: as long as idempotency keys are remembered by default
+MAX_FINGERPRINTS = 10_000  #: requests with a record; bounds memory
 
 
 class _Record(NamedTuple):
@@ -21,17 +21,17 @@
 
 @dataclass(frozen=True, slots=True)
 class NotSuspected:
-    """No target is known to have died of the request."""
+    """No target is known to have crashed while it ran the request."""
 
 
 @dataclass(frozen=True, slots=True)
 class Suspected:
-    """A target died while it ran the request, among others: run it beside no other suspect."""
+    """A target crashed while it ran this and other requests: run it beside no other suspect."""
 
 
 @dataclass(frozen=True, slots=True)
 class Quarantined:
-    """Two targets died of it: it is refused for good."""
+    """Two targets crashed while they ran the request: refuse it, and do not send it again."""
 
     failure: Failure
 
@@ -40,18 +40,18 @@
 
 
 class Quarantine:
-    """Deaths of targets by the fingerprint of the requests that they were running.
+    """Counts the deaths (crashes) of targets by the fingerprint of each request that they ran.
 
-    A death names all requests in progress, one of them guilty. The suspects then run one at
-    a time per target, so the second death names the guilty one alone; the innocent clear
-    themselves by completing.
+    A crash makes suspects of all requests in progress, one of which caused it. A target runs
+    only one suspect at a time, so the second crash identifies the cause. The others are cleared
+    when they complete.
     """
 
     def __init__(self) -> None:
         self._records: OrderedDict[int, _Record] = OrderedDict()
 
     def check(self, now: float, fingerprint: int) -> QuarantineState:
-        """Say how a request may be run."""
+        """Return whether a request may be run, and under which restriction."""
         deaths = self.death_count(now, fingerprint)
         if not deaths:
             return NotSuspected()
@@ -61,30 +61,30 @@
         return Quarantined(Failure(ErrorKind.QUARANTINED, detail))
 
     def death_count(self, now: float, fingerprint: int) -> int:
-        """Give the number of deaths that count against a request."""
+        """Return the number of crashes recorded for a request."""
         record = self._records.get(fingerprint)
         if record is None or record.until <= now:
             return 0
         return record.deaths
 
     def record_death(self, now: float, fingerprint: int) -> int:
-        """Note that a target died while it ran the request; gives the deaths so far."""
+        """Record that a target crashed while it ran the request; return the new count."""
         return self.merge_deaths(now, fingerprint, self.death_count(now, fingerprint) + 1)
 
     def merge_deaths(self, now: float, fingerprint: int, deaths: int) -> int:
-        """Take what another node says; the higher number stays. Gives the deaths known."""
+        """Merge the count of another node, of which the higher remains; return the new count."""
         if deaths <= 0:
             return self.death_count(now, fingerprint)
-        known = max(min(deaths, DEATHS_TO_QUARANTINE), self.death_count(now, fingerprint))
-        seconds = QUARANTINE_SECONDS if known >= DEATHS_TO_QUARANTINE else SUSPECT_SECONDS
-        self._records[fingerprint] = _Record(known, now + seconds)
+        count = max(min(deaths, DEATHS_TO_QUARANTINE), self.death_count(now, fingerprint))
+        seconds = QUARANTINE_SECONDS if count >= DEATHS_TO_QUARANTINE else SUSPECT_SECONDS
+        self._records[fingerprint] = _Record(count, now + seconds)
         self._records.move_to_end(fingerprint)
         if len(self._records) > MAX_FINGERPRINTS:
             self._records.popitem(last=False)
-        return known
+        return count
 
     def record_completion(self, now: float, fingerprint: int) -> None:
-        """Note that a request ran to its end: it did not kill its target."""
+        """Record that a request completed, so it did not crash its target."""
         if self.death_count(now, fingerprint) < DEATHS_TO_QUARANTINE:
             self._records.pop(fingerprint, None)
 
--- a/dunlinsaddle/policy/quota.py
+++ b/dunlinsaddle/policy/quota.py
@@ -1,36 +1,34 @@
-"""What one node lends of the quotas of organisations, and which node lends whose."""
-
+"""Token buckets for quotas of organisations, and the choice of the nodes that lend from them."""
+import xxhash
 from bisect import bisect_right
 from collections.abc import Iterable
 from dataclasses import dataclass
-
-import xxhash
-
 from dunlinsaddle.policy.sliding_count import SlidingCount
 from dunlinsaddle.routes.models import Quota
 
-LENDERS_PER_ORGANISATION = (
-    3  #: nodes in turn that may lend an organisation's quota: two may be lost at once
-)
-RING_POINTS_PER_NODE = 16  #: of each node on the ring: shares then differ by a quarter or so
-#: Part of the burst that is lent at once; the rest is lent over the window. A lender that dies may
-#: have lent all of it a moment before, and the next one does not know.
+#: Nodes that may lend an organisation's quota, in order of precedence: two of them may be lost.
+LENDERS_PER_ORGANISATION = 3
+RING_POINTS_PER_NODE = 16  #: the nodes' shares of the ring then differ by about a quarter
+#: Share of the burst that is lent at once; the rest is lent over the window. A lender that dies may
+#: have lent all of it just before, which the next lender does not know.
 INSTANT_BURST_SHARE = 0.5
-COUNT_SLOT_SECONDS = 0.1  #: by which requests of a window are counted
-#: Part of the slack that an idle bucket holds beyond the burst. An organisation with a request a
-#: second is refused by chance without it; the rest of the slack pays for changes of the lender.
+COUNT_SLOT_SECONDS = 0.1  #: resolution of the count of requests in a window
+#: Share of the slack that an idle bucket may hold beyond the burst. Without it an organisation
+#: that sends one request per second is refused by chance; the rest of the slack covers changes of
+#: the lender.
 IDLE_SLACK_SHARE = 0.35
-#: Part of the overage that is lent; the rest is for changes of the lender, too.
+#: Share of the overage that is lent; the rest also covers changes of the lender.
 LENT_OVERAGE_SHARE = 0.25
-#: Part of the slack that a lender begins with, as it does not know what the one before it lent.
+#: Share of the slack that a new lender starts with, as it does not know what its predecessor lent.
 INITIAL_SLACK_SHARE = 0.125
-#: Part of the rate that a stand-in lends. It cannot tell a lender that has died from one behind a
-#: cut, who goes on lending on its side.
+#: Share of the rate that a substitute lends. It cannot distinguish a lender that has died from one
+#: on the other side of a network partition, which continues to lend there.
 SUBSTITUTE_RATE_SHARE = 0.25
-SUBSTITUTE_IDLE_SECONDS = 1.0  #: without a request after which a stand-in's bucket is begun anew
-#: Seconds; a caller that comes back within them is mostly still answered while that is worth most.
+SUBSTITUTE_IDLE_SECONDS = 1.0  #: idle time after which a substitute's bucket is reset
+#: Longest delay that callers are asked for. Most callers that return within it are still answered
+#: while the answer is worth most.
 MAX_RETRY_AFTER_SECONDS = 0.8
-MAX_BUCKETS = 20_000  #: organisations that one node lends to: a bound on memory
+MAX_BUCKETS = 20_000  #: organisations to which one node lends; bounds memory
 
 
 @dataclass(frozen=True, slots=True)
@@ -40,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RetryLater:
-    """The quota is used up; there is room after ``seconds``."""
+    """The quota is used up; a request after ``seconds`` may run."""
 
     seconds: float
 
@@ -49,70 +47,75 @@
 
 
 class HashRing:
-    """An order of nodes for each organisation, the same wherever the same nodes are known."""
+    """Consistent hashing: an order of nodes for each organisation, from the set of known nodes."""
 
     def __init__(self) -> None:
         self.nodes: frozenset[str] = frozenset()
         self._points: list[tuple[int, str]] = []
 
     def update(self, nodes: Iterable[str]) -> bool:
-        """Take the nodes that are there; say whether they are others than before."""
-        found = frozenset(nodes)
-        if found == self.nodes:
+        """Set the known nodes; return whether they have changed."""
+        updated = frozenset(nodes)
+        if updated == self.nodes:
             return False
-        self.nodes = found
-        self._points = sorted((point, name) for name in found for point in _points(name))
+        self.nodes = updated
+        self._points = sorted((point, node) for node in updated for point in _points(node))
         return True
 
     def lenders(self, organisation: str) -> list[str]:
-        """Give the nodes that may lend its quota, the first first."""
+        """Return the nodes that may lend the organisation's quota, in order of precedence."""
         points = self._points
         start = bisect_right(points, (_hash(organisation), ''))
-        found: list[str] = []
+        lenders: list[str] = []
         for index in range(len(points)):
-            name = points[(start + index) % len(points)][1]
-            if name not in found:
-                found.append(name)
-                if len(found) == LENDERS_PER_ORGANISATION:
+            node = points[(start + index) % len(points)][1]
+            if node not in lenders:
+                lenders.append(node)
+                if len(lenders) == LENDERS_PER_ORGANISATION:
                     break
-        return found
+        return lenders
 
 
 class _Bucket:
-    """Requests that may still run: refilled evenly, and no more of them than a window allows."""
+    """A token bucket that also limits the number of requests in a sliding window."""
 
-    __slots__ = ('at', 'born', 'promised', 'recent', 'tokens')
+    __slots__ = ('at', 'promised', 'recent', 'started_at', 'tokens')
 
-    def __init__(self, now: float, tokens: float, born: float, window: float) -> None:
+    def __init__(self, now: float, tokens: float, started_at: float, window: float) -> None:
         self.tokens = tokens
-        self.at = now
-        self.born = born
-        self.promised = now  #: until when the refill is promised to those told to come back
+        self.at = now  #: time of the latest refill
+        self.started_at = started_at
+        self.promised = now  #: time until which the refill is reserved for refused callers
         self.recent = SlidingCount(COUNT_SLOT_SECONDS, _slots(window))
 
-    def take(self, now: float, rate: float, most: float, window: float, limit: float) -> bool:
-        self.tokens = min(self.tokens + (now - self.at) * rate, most)
+    def take(
+        self, now: float, rate: float, max_tokens: float, window: float, max_requests: float
+    ) -> bool:
+        self.tokens = min(self.tokens + (now - self.at) * rate, max_tokens)
         self.at = now
-        if self.tokens < 1 or self.recent.total(now, _slots(window)) + 1 > limit:
+        if self.tokens < 1 or self.recent.total(now, _slots(window)) + 1 > max_requests:
             return False
         self.tokens -= 1
         self.recent.add(now)
         return True
 
-    def come_back(self, now: float, rate: float) -> float:
+    def reserve_retry(self, now: float, rate: float) -> float:
+        """Reserve the next refilled token for a refused caller; return the seconds until then."""
         self.promised = min(max(self.promised, now) + 1 / rate, now + MAX_RETRY_AFTER_SECONDS)
         return self.promised - now
 
 
 class QuotaLedger:
-    """The buckets of the organisations whose quota this node lends.
-
-    A quota of a rate and a burst means so many requests in each window: the rate times the
-    window, and the burst. The bucket refills at that over the window, so that one who asks for
-    more is served evenly, and the window's own count is kept besides. For the first window of a
-    bucket it refills at the rate alone, since another node may have lent the burst just before,
-    and it begins nearly empty. ``share`` is the part of the nodes known that are in touch: of a
-    fleet that is cut in two each side lends its part.
+    """The token buckets of the organisations whose quota this node lends.
+
+    A quota with a rate and a burst allows in each window the rate times the window, plus the
+    burst. A bucket is refilled evenly at that total over the window, so that an organisation
+    that asks for more is served at a steady rate. The requests in the window are counted and
+    limited as well. During its first window a bucket is refilled at the rate alone and starts
+    nearly empty, because another node may have lent the burst just before.
+
+    ``reachable_share`` is the share of the known nodes that are reachable: each side of a network
+    partition lends its part.
     """
 
     def __init__(self, slack: float, window: float, overage: float = 0.0) -> None:
@@ -120,62 +123,62 @@
         self.window = window
         self.overage = overage
         self.reachable_share = 1.0
-        self._since = 0.0  #: since when this node lends for whom it has no bucket yet
+        self._reset_at = 0.0  #: start of lending to organisations that have no bucket yet
         self._own: dict[str, _Bucket] = {}
-        self._stood_in: dict[str, _Bucket] = {}
+        self._substituted: dict[str, _Bucket] = {}
 
     def reset(self, now: float, keeps: Iterable[str]) -> None:
-        """Begin anew for all but those that this node keeps on lending to."""
-        self._since = now
+        """Drop the buckets of all organisations but those that this node still lends to."""
+        self._reset_at = now
         kept = set(keeps)
         self._own = {name: bucket for name, bucket in self._own.items() if name in kept}
 
     def organisations(self) -> list[str]:
-        """Give those that this node lends to as the first of its lenders."""
+        """Return the organisations to which this node lends as their first lender."""
         return list(self._own)
 
     def take(
         self, now: float, organisation: str, quota: Quota, *, is_first_lender: bool
     ) -> QuotaDecision:
-        """Lend for one request; ``first`` unless this node stands in for another."""
-        part = self.reachable_share * (
+        """Lend for one request; not ``is_first_lender`` when substituting for another node."""
+        share = self.reachable_share * (
             1.0 + LENT_OVERAGE_SHARE * self.overage if is_first_lender else SUBSTITUTE_RATE_SHARE
         )
-        rate = quota.rate * part
+        rate = quota.rate * share
         bucket = self._bucket(now, organisation, rate, is_first_lender=is_first_lender)
-        if is_first_lender and now - bucket.born >= self.window:
-            rate += quota.burst * part / self.window
-        idle = IDLE_SLACK_SHARE * self.slack
-        most = max(INSTANT_BURST_SHARE * quota.burst * part + idle, 1.0)
-        limit = max((quota.rate * self.window + quota.burst) * part + idle, 1.0)
-        if bucket.take(now, rate, most, self.window, limit):
+        if is_first_lender and now - bucket.started_at >= self.window:
+            rate += quota.burst * share / self.window
+        idle_slack = IDLE_SLACK_SHARE * self.slack
+        max_tokens = max(INSTANT_BURST_SHARE * quota.burst * share + idle_slack, 1.0)
+        max_requests = max((quota.rate * self.window + quota.burst) * share + idle_slack, 1.0)
+        if bucket.take(now, rate, max_tokens, self.window, max_requests):
             return Granted()
-        return RetryLater(bucket.come_back(now, rate))
+        return RetryLater(bucket.reserve_retry(now, rate))
 
     def refund(self, organisation: str) -> None:
-        """Take back what was lent for a request that did not run."""
-        bucket = self._own.get(organisation) or self._stood_in.get(organisation)
+        """Return the token of a request that did not run."""
+        bucket = self._own.get(organisation) or self._substituted.get(organisation)
         if bucket is not None:
             bucket.tokens += 1
             bucket.recent.remove_one()
 
     def tokens_left(self) -> dict[str, float]:
-        """Give what is left, by organisation, as of the latest request of each."""
+        """Return the tokens left for each organisation, as of its latest request."""
         return {name: bucket.tokens for name, bucket in self._own.items()}
 
     def _bucket(
         self, now: float, organisation: str, rate: float, *, is_first_lender: bool
     ) -> _Bucket:
-        buckets = self._own if is_first_lender else self._stood_in
-        found = buckets.get(organisation)
-        if found is not None and (is_first_lender or now - found.at < SUBSTITUTE_IDLE_SECONDS):
-            return found
+        buckets = self._own if is_first_lender else self._substituted
+        bucket = buckets.get(organisation)
+        if bucket is not None and (is_first_lender or now - bucket.at < SUBSTITUTE_IDLE_SECONDS):
+            return bucket
         if len(buckets) >= MAX_BUCKETS:
             buckets.clear()
-        since = self._since if is_first_lender else now
-        tokens = INITIAL_SLACK_SHARE * self.slack + rate * max(now - since, 0.0)
-        found = buckets[organisation] = _Bucket(now, tokens, since, self.window)
-        return found
+        started_at = self._reset_at if is_first_lender else now
+        tokens = INITIAL_SLACK_SHARE * self.slack + rate * max(now - started_at, 0.0)
+        bucket = buckets[organisation] = _Bucket(now, tokens, started_at, self.window)
+        return bucket
 
 
 def _slots(window: float) -> int:
@@ -186,5 +189,5 @@
     return int(xxhash.xxh64_intdigest(text.encode()))
 
 
-def _points(name: str) -> list[int]:
-    return [_hash(f'{name}/{index}') for index in range(RING_POINTS_PER_NODE)]
+def _points(node: str) -> list[int]:
+    return [_hash(f'{node}/{index}') for index in range(RING_POINTS_PER_NODE)]
--- a/dunlinsaddle/policy/retry.py
+++ b/dunlinsaddle/policy/retry.py
@@ -1,51 +1,54 @@
-"""The retry allowance of one root request, conserved over its whole chain."""
+"""Retry allowance of a root request, shared by all calls that the request causes."""
 
 from dunlinsaddle.errors import ErrorKind, Outcome
 
 
 class RetryAllowance:
-    """The resends that this node may still spend or hand down for one root request.
+    """The resends that this node may still spend or delegate for one root request.
 
-    The root is given the record's bound. A hop hands part of what it holds down with a
-    call, and gets back what was not spent. What is lost with an answer stays lost, so the
-    sum over a chain of any depth and fan-out never exceeds the bound.
+    The root request starts with the bound from the service record. Each hop delegates part of its
+    tokens with a call, and gets the unspent ones back with the response. Tokens are lost with a
+    lost response, so the resends in a call graph of any depth and fan-out never exceed the bound.
     """
 
     def __init__(self, tokens: int) -> None:
         self.tokens = max(tokens, 0)
 
     def spend(self) -> bool:
-        """Take one token for a resend; False when none is left."""
+        """Spend one token for a resend; return False if none is left."""
         if not self.tokens:
             return False
         self.tokens -= 1
         return True
 
     def delegate(self) -> int:
-        """Take the tokens that go down with one call: half, rounded up."""
+        """Remove and return the tokens to delegate with one call: half, rounded up."""
         share = (self.tokens + 1) // 2
         self.tokens -= share
         return share
 
-    def reclaim(self, handed: int, unspent: int) -> None:
-        """Take back unspent tokens, never more than were handed down."""
-        self.tokens += min(max(unspent, 0), handed)
+    def reclaim(self, delegated: int, unspent: int) -> None:
+        """Add unspent tokens of a call, at most as many as were delegated with it."""
+        self.tokens += min(max(unspent, 0), delegated)
 
 
+#: Refusals after which another target may accept the call.
 RESENDABLE_REFUSALS = frozenset({ErrorKind.DRAINING, ErrorKind.NO_TARGET})
-#: Refused by a node, before anything reached its target.
+#: Refusals by a node, before anything reached its target.
 REFUSED_BY_NODE = RESENDABLE_REFUSALS | {ErrorKind.OVERLOADED, ErrorKind.TOO_LATE_TO_START}
+#: The call was sent, but its response did not arrive or is incomplete.
 LOST_ANSWER_KINDS = frozenset(
     {ErrorKind.PEER_LOST, ErrorKind.TARGET_LOST, ErrorKind.INCOMPLETE_ANSWER}
 )
 
 
 def may_resend(kind: ErrorKind | None, outcome: Outcome, *, idempotent: bool) -> bool:
-    """Say whether another target may be given a call that ended so.
+    """Return whether a call with this outcome may be sent to another target.
 
-    What provably did not run may always go elsewhere. What may have run goes elsewhere only
-    if it is idempotent. A refusal for overload stays final: all targets of a service order
-    requests alike, and a second try would add load where there is too much.
+    A call that provably did not run may be resent if its refusal does not apply to other targets.
+    A call that may have run may be resent only if it is idempotent. A refusal for overload is
+    final: all targets of a service use the same priorities, and a second attempt would add load
+    to a service that has too much.
     """
     if kind is None:
         return False
--- a/dunlinsaddle/policy/retry_budget.py
+++ b/dunlinsaddle/policy/retry_budget.py
@@ -1,126 +1,134 @@
-"""The retries that a node may send for each service, out of a budget that all nodes share."""
-
-from math import exp
-
+"""Budget of a node for retries to each service, its part of a budget that all nodes share."""
 from dunlinsaddle.policy.context import LOWEST_LEVEL, SLOTS_PER_RANK
 from dunlinsaddle.policy.sliding_count import SlidingCount
 from dunlinsaddle.records.models import Rank
+from math import exp
 
-WINDOW_SLOTS = 10  #: parts of the window; a finer window would count more exactly and cost more
-#: Share of the budget that is spent. The rest covers what a node cannot know: that other nodes'
-#: counts are of a slightly other window, and members that it has not heard of yet.
+WINDOW_SLOTS = 10  #: parts of the window; more parts would count more exactly but cost more
+#: Share of the budget that is spent. The rest covers what a node cannot know: the other nodes
+#: count over slightly different windows, and the node may not have heard of some members yet.
 SPENDABLE_SHARE = 0.8
-#: Share of the budget that is kept from the least valued level, and in proportion from the others:
-#: what is scarce goes to the requests that are worth most, and to the same ones at all nodes.
+#: Share of the budget that is reserved from the lowest priority level, and in proportion from the
+#: other levels. A scarce budget goes to the most important requests, the same at all nodes.
 RESERVED_SHARE = 0.5
-#: Seconds over which the repeats that a rank asks for are averaged: a surge of failures has to be
-#: seen well before it has used up the budget, which it did in two seconds.
+#: Seconds over which the demand for repeats of each rank is averaged. A surge of failures must show
+#: well before it uses up the budget, which took two seconds.
 DEMAND_AVERAGE_SECONDS = 1.0
 
 
 class RetryBudget:
     """Counts first sends and repeats for each service over a sliding window.
 
-    Each node spends a share of the ratio of what it has sent itself, and its part of what is
-    allowed on top. So the sum over all nodes holds with no word between them. Calls that a
-    repeated run makes are repeats at the service below: they take from the same budget.
+    Each node may spend a ratio of the requests that it has sent itself, plus an equal part of the
+    extra allowance. The sum over all nodes so stays within the bound without coordination. Calls
+    made by a repeated run are repeats at the service below and are counted in the same budget.
 
-    What was sent is that of the present window, the one before it or the one half before,
-    whichever has most. Failure: requests that fail early make fewer calls, and the budget shrinks
-    just when it is needed.
+    The number of requests sent is the largest of three windows: the present one, the one before,
+    and the one half a window ago. Requests that fail early make fewer calls, which would otherwise
+    shrink the budget just when it is needed.
 
-    What more valued ranks ask for now is kept for them for the rest of the window. Failure: all
-    targets of a deep service turn away half of what arrives. Lookups and orders spend the budget
-    of ten seconds in two; then nearly all orders fail, which need eight answers each. Of the
-    orders of five such seconds 0.70 were whole with it where 0.49 had been, of the lookups 0.08
-    where 0.26 had been (`tests/test_deep_load.py`, four seeds).
+    Repeats that more important ranks currently ask for are reserved for the rest of the window.
+    Otherwise, when all targets of a deep service refuse half of all calls, lookups and orders
+    spend the budget of ten seconds within two. After that nearly all orders fail, as an order
+    needs eight responses. The reservation raised the share of completed orders in five such
+    seconds from 0.49 to 0.70, and lowered that of lookups from 0.26 to 0.08
+    (`tests/test_deep_load.py`, four seeds).
     """
 
     def __init__(self, ratio: float, extra: float, window: float) -> None:
         self.set_limits(ratio, extra)
         self.window = window
-        self.node_count = 1  #: that share the budget; more than there are is on the safe side
-        self._services: dict[str, _Window] = {}
+        self.node_count = 1  #: nodes that share the budget; too high a number is safe
+        self._services: dict[str, _ServiceWindow] = {}
 
     def set_limits(self, ratio: float, extra: float) -> None:
-        """Take other bounds; what was counted stays."""
+        """Change the bounds; counts are kept."""
         self.ratio = ratio * SPENDABLE_SHARE
         self.extra = extra * SPENDABLE_SHARE
 
     def record_request(self, now: float, service: str) -> None:
-        """Note the first send of a request."""
-        self._of(service).add(now, sent=1, repeated=0)
+        """Count the first send of a request."""
+        self._window_of(service).add(now, requests=1, repeats=0)
 
     def record_repeat(self, now: float, service: str) -> None:
-        """Note a call that a repeated run makes; it is not refused for it."""
-        self._of(service).add(now, sent=0, repeated=1)
+        """Count a call made by a repeated run; such calls are not refused."""
+        self._window_of(service).add(now, requests=0, repeats=1)
 
     def spend(self, now: float, service: str, level: int = 0) -> bool:
-        """Take one repeat; False when what the window leaves for this level is used up."""
-        window = self._of(service)
+        """Spend one repeat; return False if the budget left for this level is used up."""
+        window = self._window_of(service)
         rank = level // SLOTS_PER_RANK
-        window.wanted[rank].add(now)
-        kept = RESERVED_SHARE * level / LOWEST_LEVEL
-        reserved = self.window * sum(w.rate(now) for w in window.wanted[:rank])
-        if window.repeated(now) + 1 > self.allowed(now, service) * (1 - kept) - reserved:
+        window.demand[rank].add(now)
+        reserved_share = RESERVED_SHARE * level / LOWEST_LEVEL
+        reserved = self.window * sum(demand.rate(now) for demand in window.demand[:rank])
+        if (
+            window.repeat_count(now) + 1
+            > self.allowed(now, service) * (1 - reserved_share) - reserved
+        ):
             return False
-        window.add(now, sent=0, repeated=1)
+        window.add(now, requests=0, repeats=1)
         return True
 
     def allowed(self, now: float, service: str) -> float:
-        """Give the repeats that this node may send in the present window."""
-        return self.ratio * self._of(service).sent(now) + self.extra / max(self.node_count, 1)
+        """Return the number of repeats that this node may send in the present window."""
+        return self.ratio * self._window_of(service).request_count(now) + self.extra / max(
+            self.node_count, 1
+        )
 
     def remaining(self, now: float) -> dict[str, float]:
-        """Give the repeats that may still be sent now, by service."""
+        """Return the number of repeats that may still be sent, by service."""
         return {
-            name: max(self.allowed(now, name) - window.repeated(now), 0.0)
+            name: max(self.allowed(now, name) - window.repeat_count(now), 0.0)
             for name, window in self._services.items()
         }
 
-    def _of(self, service: str) -> '_Window':
-        found = self._services.get(service)
-        if found is None:
-            found = self._services[service] = _Window(self.window)
-        return found
+    def _window_of(self, service: str) -> '_ServiceWindow':
+        window = self._services.get(service)
+        if window is None:
+            window = self._services[service] = _ServiceWindow(self.window)
+        return window
 
 
-class _Wanted:
-    """How many repeats a second are asked for, spent or not."""
+class _RepeatDemand:
+    """Moving average of the repeats per second that are asked for, permitted or not."""
 
-    __slots__ = ('_at', '_count')
+    __slots__ = ('_count', '_updated_at')
 
     def __init__(self) -> None:
         self._count = 0.0
-        self._at = 0.0
+        self._updated_at = 0.0
 
     def add(self, now: float) -> None:
         self._count = self.rate(now) * DEMAND_AVERAGE_SECONDS + 1
-        self._at = now
+        self._updated_at = now
 
     def rate(self, now: float) -> float:
-        return self._count * exp((self._at - now) / DEMAND_AVERAGE_SECONDS) / DEMAND_AVERAGE_SECONDS
+        return (
+            self._count
+            * exp((self._updated_at - now) / DEMAND_AVERAGE_SECONDS)
+            / DEMAND_AVERAGE_SECONDS
+        )
 
 
-class _Window:
-    """What was sent and repeated in the last window, and what was sent in those before."""
+class _ServiceWindow:
+    """Requests and repeats sent in the present window, and requests in the windows before."""
 
     def __init__(self, seconds: float) -> None:
         width = seconds / WINDOW_SLOTS
-        self.wanted = [_Wanted() for _ in Rank]
-        self._sent = SlidingCount(width, 2 * WINDOW_SLOTS)
-        self._repeated = SlidingCount(width, WINDOW_SLOTS)
+        self.demand = [_RepeatDemand() for _ in Rank]
+        self._requests = SlidingCount(width, 2 * WINDOW_SLOTS)
+        self._repeats = SlidingCount(width, WINDOW_SLOTS)
 
-    def add(self, now: float, *, sent: int, repeated: int) -> None:
-        self._sent.add(now, sent)
-        self._repeated.add(now, repeated)
+    def add(self, now: float, *, requests: int, repeats: int) -> None:
+        self._requests.add(now, requests)
+        self._repeats.add(now, repeats)
 
-    def sent(self, now: float) -> int:
-        """Give the most of the present window, the one before, and the one half before."""
+    def request_count(self, now: float) -> int:
+        """Return the largest count of the present, the previous and the window half-way between."""
         return max(
-            self._sent.total(now, WINDOW_SLOTS, back)
+            self._requests.total(now, WINDOW_SLOTS, back)
             for back in (0, WINDOW_SLOTS // 2, WINDOW_SLOTS)
         )
 
-    def repeated(self, now: float) -> int:
-        return self._repeated.total(now, WINDOW_SLOTS)
+    def repeat_count(self, now: float) -> int:
+        return self._repeats.total(now, WINDOW_SLOTS)
--- a/tests/test_mesh_calls.py
+++ b/tests/test_mesh_calls.py
@@ -143,7 +143,7 @@
             for number in range(20):
                 await mesh.call('c', '/front/x', request_id=f'root{number}')
             now = asyncio.get_running_loop().time()
-            return mesh.nodes['a'].budget._of('deep').repeated(now)
+            return mesh.nodes['a'].budget._window_of('deep').repeat_count(now)
 
         targets = ('a:front', 'b:deep', 'c:front')
         self.assertGreater(self.mesh(scenario, targets=targets), 0)
