--- a/dunlinsaddle/policy/ownership.py
+++ b/dunlinsaddle/policy/ownership.py
@@ -108,6 +108,7 @@
 class PlanContext(NamedTuple):
     """The state of a node for which ranges are planned.
 
+    ``serving`` lists the instances that serve the service, ``now`` is the node's clock.
     ``latest_births`` maps a range to the latest creation time accepted in it, in milliseconds.
     ``listener`` is set only while this run listens; without it no interval is taken over early.
     """
--- a/dunlinsaddle/policy/quota.py
+++ b/dunlinsaddle/policy/quota.py
@@ -127,11 +127,11 @@
         self._own: dict[str, _Bucket] = {}
         self._substituted: dict[str, _Bucket] = {}
 
-    def reset(self, now: float, keeps: Iterable[str]) -> None:
-        """Drop the buckets of all organisations but those that this node still lends to."""
+    def reset(self, now: float, retained: Iterable[str]) -> None:
+        """Drop all buckets but those of the retained organisations."""
         self._reset_at = now
-        kept = set(keeps)
-        self._own = {name: bucket for name, bucket in self._own.items() if name in kept}
+        names = set(retained)
+        self._own = {name: bucket for name, bucket in self._own.items() if name in names}
 
     def organisations(self) -> list[str]:
         """Return the organisations to which this node lends as their first lender."""
--- a/dunlinsaddle/policy/route.py
+++ b/dunlinsaddle/policy/route.py
@@ -148,7 +148,7 @@
     def choose(
         self, now: float, candidates: Sequence[Candidate], tried: frozenset[str] = frozenset()
     ) -> Candidate | None:
-        """Return the target for a call, or None if each candidate was tried for it already."""
+        """Return the target for a call, or None if no untried candidate is left."""
         if tried:
             # Only resent calls get here. They are rare, so the selection is not cached.
             selection = self._select(now, [c for c in candidates if c.instance not in tried])
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -10,8 +10,8 @@
     Suspected,
 )
 
-KILLER = 7
-INNOCENT = 8
+CRASHING = 7
+HARMLESS = 8
 
 
 class QuarantineTest(TestCase):
@@ -19,34 +19,34 @@
         super().setUp()
         self.quarantine = Quarantine()
 
-    def test_request_is_refused_for_good_after_two_deaths(self):
-        # A request crashes each target that runs it, and its caller sends it again. The
-        # first death makes it a suspect, the second bars it: no third target dies.
-        self.quarantine.record_death(0.0, KILLER)
-        self.assertEqual(Suspected(), self.quarantine.check(1.0, KILLER))
-        self.quarantine.record_death(1.0, KILLER)
-        standing = self.quarantine.check(2.0, KILLER)
-        assert isinstance(standing, Quarantined)
-        self.assertEqual(ErrorKind.QUARANTINED, standing.failure.kind)
-
-    def test_innocent_request_clears_itself_by_completing(self):
-        self.quarantine.record_death(0.0, INNOCENT)
-        self.quarantine.record_completion(1.0, INNOCENT)
-        self.assertEqual(NotSuspected(), self.quarantine.check(1.0, INNOCENT))
-
-    def test_barred_request_is_not_cleared_by_an_old_completion(self):
-        self.quarantine.merge_deaths(0.0, KILLER, 2)
-        self.quarantine.record_completion(1.0, KILLER)
-        self.assertIsInstance(self.quarantine.check(1.0, KILLER), Quarantined)
-
-    def test_higher_count_of_a_peer_stays(self):
-        self.quarantine.merge_deaths(0.0, KILLER, 2)
-        self.quarantine.merge_deaths(0.0, KILLER, 1)
-        self.assertEqual(2, self.quarantine.death_count(1.0, KILLER))
-
-    def test_suspicion_ends_after_a_time(self):
-        self.quarantine.record_death(0.0, INNOCENT)
-        self.assertEqual(NotSuspected(), self.quarantine.check(SUSPECT_SECONDS, INNOCENT))
+    def test_request_is_refused_after_two_crashes(self):
+        # A request crashes each target that runs it, and its caller resends it. It must be
+        # refused before it crashes a third target.
+        self.quarantine.record_death(0.0, CRASHING)
+        self.assertEqual(Suspected(), self.quarantine.check(1.0, CRASHING))
+        self.quarantine.record_death(1.0, CRASHING)
+        state = self.quarantine.check(2.0, CRASHING)
+        assert isinstance(state, Quarantined)
+        self.assertEqual(ErrorKind.QUARANTINED, state.failure.kind)
+
+    def test_completed_request_is_no_longer_suspected(self):
+        self.quarantine.record_death(0.0, HARMLESS)
+        self.quarantine.record_completion(1.0, HARMLESS)
+        self.assertEqual(NotSuspected(), self.quarantine.check(1.0, HARMLESS))
+
+    def test_quarantined_request_is_not_cleared_by_a_late_completion(self):
+        self.quarantine.merge_deaths(0.0, CRASHING, 2)
+        self.quarantine.record_completion(1.0, CRASHING)
+        self.assertIsInstance(self.quarantine.check(1.0, CRASHING), Quarantined)
+
+    def test_higher_count_of_another_node_remains(self):
+        self.quarantine.merge_deaths(0.0, CRASHING, 2)
+        self.quarantine.merge_deaths(0.0, CRASHING, 1)
+        self.assertEqual(2, self.quarantine.death_count(1.0, CRASHING))
+
+    def test_suspicion_expires(self):
+        self.quarantine.record_death(0.0, HARMLESS)
+        self.assertEqual(NotSuspected(), self.quarantine.check(SUSPECT_SECONDS, HARMLESS))
 
     def test_memory_is_bounded(self):
         for fingerprint in range(MAX_FINGERPRINTS + 100):
--- a/tests/test_retry.py
+++ b/tests/test_retry.py
@@ -8,8 +8,8 @@
 from dunlinsaddle.policy.retry import RetryAllowance, may_resend
 
 
-class _Chain:
-    """A chain in which any call may fail at random; counts the resends of one root."""
+class _CallGraph:
+    """A call graph in which any call may fail; counts the resends for one root request."""
 
     def __init__(self, depth: int, fan_out: int, seed: int) -> None:
         self.depth = depth
@@ -23,14 +23,14 @@
 
     def call(self, allowance: RetryAllowance, hop: int) -> None:
         while True:
-            handed = allowance.delegate()
-            below = RetryAllowance(handed)
-            self.serve(below, hop)
+            delegated = allowance.delegate()
+            callee_allowance = RetryAllowance(delegated)
+            self.serve(callee_allowance, hop)
             if self.rng.random() < 0.5:
-                allowance.reclaim(handed, below.tokens)
+                allowance.reclaim(delegated, callee_allowance.tokens)
                 return
             if self.rng.random() < 0.5:
-                allowance.reclaim(handed, below.tokens)
+                allowance.reclaim(delegated, callee_allowance.tokens)
             if not allowance.spend():
                 return
             self.resends += 1
@@ -40,21 +40,21 @@
     @settings(derandomize=True, max_examples=300, deadline=None)
     @given(st.integers(1, 11), st.integers(1, 3), st.integers(0, 10), st.integers(0, 1 << 32))
     def test_resends_of_one_request_stay_within_the_bound(self, depth, fan_out, bound, seed):
-        # Every hop may fail and be retried. With a retry rule of its own at each hop the
-        # tries would multiply with the depth; with one allowance the sum is the bound.
-        chain = _Chain(min(depth, 5) if fan_out > 1 else depth, fan_out, seed)
-        chain.serve(RetryAllowance(bound), 0)
-        self.assertLessEqual(chain.resends, bound)
+        # Any hop may fail and be retried. If each hop had its own retry limit, the attempts would
+        # multiply with the depth; with one shared allowance their sum is bounded.
+        graph = _CallGraph(min(depth, 5) if fan_out > 1 else depth, fan_out, seed)
+        graph.serve(RetryAllowance(bound), 0)
+        self.assertLessEqual(graph.resends, bound)
 
-    def test_more_tokens_than_were_handed_down_do_not_come_back(self):
+    def test_no_more_tokens_are_reclaimed_than_were_delegated(self):
         allowance = RetryAllowance(3)
-        handed = allowance.delegate()
-        allowance.reclaim(handed, 100)
+        delegated = allowance.delegate()
+        allowance.reclaim(delegated, 100)
         self.assertEqual(3, allowance.tokens)
 
 
 class MayResendTest(TestCase):
-    def test_what_may_have_run_is_resent_only_if_idempotent(self):
+    def test_call_that_may_have_run_is_resent_only_if_idempotent(self):
         lost = (ErrorKind.TARGET_LOST, Outcome.UNKNOWN)
         self.assertTrue(may_resend(*lost, idempotent=True))
         self.assertFalse(may_resend(*lost, idempotent=False))
@@ -63,6 +63,6 @@
         refused = (ErrorKind.OVERLOADED, Outcome.NOT_RUN)
         self.assertFalse(may_resend(*refused, idempotent=True))
 
-    def test_leaving_target_costs_a_refused_hop_only(self):
+    def test_call_refused_by_a_draining_target_is_resent(self):
         refused = (ErrorKind.DRAINING, Outcome.NOT_RUN)
         self.assertTrue(may_resend(*refused, idempotent=False))
--- a/tests/test_retry_budget.py
+++ b/tests/test_retry_budget.py
@@ -10,7 +10,7 @@
             spent += 1
         return spent
 
-    def test_repeats_are_a_share_of_what_this_node_sent_and_of_the_extra(self):
+    def test_repeats_are_limited_to_the_ratio_and_a_part_of_the_extra(self):
         budget = RetryBudget(0.2, 40.0, 10.0)
         budget.node_count = 4
         for _ in range(400):
@@ -19,32 +19,32 @@
             int(400 * 0.2 * SPENDABLE_SHARE + 40 * SPENDABLE_SHARE / 4), self.spend_all(budget, 1.0)
         )
 
-    def test_the_bound_holds_in_every_window(self):
-        # A steady stream, spent as soon as it may be: no window of ten seconds holds more.
+    def test_bound_holds_in_every_window(self):
+        # Requests arrive steadily, and the budget is spent as soon as possible.
         budget = RetryBudget(0.2, 0.0, 10.0)
-        spends = []
+        spent_at = []
         for step in range(600):
             now = step * 0.1
             for _ in range(20):
                 budget.record_request(now, 'svc')
-            spends += [now] * self.spend_all(budget, now)
+            spent_at += [now] * self.spend_all(budget, now)
         for start in range(0, 50):
-            inside = [t for t in spends if start <= t < start + 10]
-            self.assertLessEqual(len(inside), 2200 * 0.2 * SPENDABLE_SHARE + 1)
+            in_window = [t for t in spent_at if start <= t < start + 10]
+            self.assertLessEqual(len(in_window), 2200 * 0.2 * SPENDABLE_SHARE + 1)
 
-    def test_a_fall_of_the_load_takes_nothing_from_the_budget_for_two_windows(self):
+    def test_budget_does_not_shrink_soon_after_the_load_falls(self):
         budget = RetryBudget(0.2, 0.0, 10.0)
         for step in range(100):
             for _ in range(10):
                 budget.record_request(step * 0.1, 'svc')
-        whole = budget.allowed(9.9, 'svc')
-        self.assertEqual(whole, budget.allowed(15.0, 'svc'))
-        self.assertLess(budget.allowed(27.0, 'svc'), whole / 2)
+        full = budget.allowed(9.9, 'svc')
+        self.assertEqual(full, budget.allowed(15.0, 'svc'))
+        self.assertLess(budget.allowed(27.0, 'svc'), full / 2)
         self.assertEqual(0.0, budget.allowed(45.0, 'svc'))
 
-    def test_what_is_scarce_is_kept_for_the_most_valued(self):
-        # Lookups fail by hundreds, and their repeats take the whole budget: the calls of
-        # orders, which fail beside them, are not sent again.
+    def test_scarce_budget_is_reserved_for_higher_priorities(self):
+        # Hundreds of lookups fail. If their repeats used up the budget, the failed calls of
+        # orders could not be resent.
         budget = RetryBudget(0.2, 0.0, 10.0)
         for _ in range(1000):
             budget.record_request(1.0, 'svc')
@@ -55,14 +55,15 @@
         self.assertLess(lookups, 0.75 * 200 * SPENDABLE_SHARE)
         self.assertGreater(orders, 0.25 * 200 * SPENDABLE_SHARE)
 
-    def test_services_do_not_share(self):
+    def test_each_service_has_its_own_budget(self):
         budget = RetryBudget(0.2, 0.0, 10.0)
         for _ in range(100):
             budget.record_request(1.0, 'svc')
         self.assertFalse(budget.spend(1.0, 'other'))
 
-    def test_lookups_are_sent_again_where_nothing_more_valued_needs_it(self):
-        # What a few lost answers take is far from the budget, and is nobody else's.
+    def test_low_priority_calls_are_resent_while_the_budget_is_ample(self):
+        # The repeats of a few lost responses use a small part of the budget, and no other calls
+        # need it.
         budget = RetryBudget(0.2, 213.0, 10.0)
         budget.node_count = 194
         refused = 0
