--- a/dunlinsaddle/mesh/daemon.py
+++ b/dunlinsaddle/mesh/daemon.py
@@ -21,10 +21,12 @@
 from dunlinsaddle.settings import SettingError
 from dunlinsaddle.status import ExitStatus
 
-LOOK_SECONDS = 1.0  #: between two looks at the settings file; half of what a change may take
+SETTINGS_POLL_SECONDS = (
+    1.0  #: between two looks at the settings file; half of what a change may take
+)
 
 
-def load(path: str) -> Result[MeshSettings, SettingError]:
+def load_settings(path: str) -> Result[MeshSettings, SettingError]:
     """Read the settings file."""
     try:
         return read_node_file(Path(path).read_bytes())
@@ -34,7 +36,7 @@
 
 def run(env: Environment, path: str, *, check: bool = False) -> ExitStatus:
     """Run a node until it is told to stop; with ``check`` only look at its settings."""
-    match load(path):
+    match load_settings(path):
         case Err(error):
             env.report(str(error))
             return ExitStatus.USAGE
@@ -77,7 +79,7 @@
     """Take up a changed file that no signal told of."""
     seen = _changed_at(path)
     while True:
-        await asyncio.sleep(LOOK_SECONDS)
+        await asyncio.sleep(SETTINGS_POLL_SECONDS)
         now = _changed_at(path)
         if now != seen:
             seen = now
@@ -94,10 +96,10 @@
 
 def reload_settings(node: MeshNode, path: str) -> None:
     """Take up a changed settings file; one that cannot be used changes nothing."""
-    match load(path):
+    match load_settings(path):
         case Err(error):
             # The settings in force stay: a file that is being written is cut short for a moment.
             node.logger.error('settings unusable', extra={'why': str(error)})
         case Ok(settings):
-            node.take_bounds(settings.bounds)
+            node.update_limits(settings.limits)
             node.logger.info('settings reloaded')
--- a/dunlinsaddle/mesh/announce.py
+++ b/dunlinsaddle/mesh/heartbeat_endpoint.py
@@ -5,14 +5,14 @@
 from collections.abc import Callable
 from dunlinsaddle.calls.http import HttpRequest, HttpResponse
 from dunlinsaddle.calls.target import LocalTarget
-from dunlinsaddle.mesh.beats import Farewell, Heartbeat, TargetLog
+from dunlinsaddle.mesh.heartbeats import Deregistration, Heartbeat, HeartbeatTracker
 from dunlinsaddle.platform.heartbeats import acknowledgement, read_heartbeat, rejection
 from dunlinsaddle.policy.slots import SlotAdmission
 from dunlinsaddle.settings import Address
 from result import Err, Ok
 
 
-class AnnounceFace:
+class HeartbeatEndpoint:
     """Takes heartbeats of the one target that the settings name."""
 
     def __init__(
@@ -30,8 +30,8 @@
         self.admission = admission
         self.on_change = on_change
         self.logger = logger
-        self.log = TargetLog()
-        self.heard_at = -math.inf  #: time of the loop of the latest heartbeat that counts
+        self.tracker = HeartbeatTracker()
+        self.last_heartbeat_at = -math.inf  #: time of the loop of the latest heartbeat that counts
 
     async def handle(self, req: HttpRequest) -> HttpResponse:
         """Answer one heartbeat or farewell."""
@@ -39,7 +39,7 @@
             case Err(why):
                 self.logger.warning('heartbeat unusable', extra={'why': why})
                 return rejection(why)
-            case Ok(Farewell() as farewell):
+            case Ok(Deregistration() as farewell):
                 self._farewell(farewell)
             case Ok(Heartbeat() as beat):
                 if (beat.service, beat.address) != (self.service, self.address):
@@ -48,22 +48,25 @@
                 self._heartbeat(beat)
         return acknowledgement()
 
-    def _farewell(self, farewell: Farewell) -> None:
-        if self.log.leave(farewell):
+    def _farewell(self, farewell: Deregistration) -> None:
+        if self.tracker.deregister(farewell):
             self.logger.info('target left', extra={'target': farewell.target_id})
             self.target.clear()
             self.on_change()
 
     def _heartbeat(self, beat: Heartbeat) -> None:
-        held = self.log.current
-        if not self.log.take(beat):
+        held = self.tracker.current
+        if not self.tracker.accept(beat):
             return
-        self.heard_at = asyncio.get_running_loop().time()
+        self.last_heartbeat_at = asyncio.get_running_loop().time()
         self.admission.set_slots(beat.slots)
-        new = held is None or (held.target_id, held.started) != (beat.target_id, beat.started)
+        new = held is None or (held.target_id, held.started_at_ms) != (
+            beat.target_id,
+            beat.started_at_ms,
+        )
         if new:
             self.logger.info('target announced', extra=_named(beat))
-            self.target.start_incarnation(beat.service, self.address, beat.target_id, beat.started)
+            self.target.start_incarnation(beat.service, self.address, beat.target_id, beat.started_at_ms)
         if beat.draining and not self.target.draining:
             self.logger.info('target drains', extra=_named(beat))
             self.target.drain()
@@ -73,7 +76,7 @@
 def _named(beat: Heartbeat) -> dict[str, object]:
     return {
         'target': beat.target_id,
-        'started': beat.started,
+        'started': beat.started_at_ms,
         'sequence': beat.sequence,
         'slots': beat.slots,
         'draining': beat.draining,
--- a/dunlinsaddle/mesh/beats.py
+++ b/dunlinsaddle/mesh/heartbeats.py
@@ -11,18 +11,18 @@
     address: tuple[str, int]
     slots: int
     draining: bool
-    cold_for: float  #: seconds for which it stays slow after its start
-    started: int  #: Unix milliseconds, 0 if it does not say
+    warmup_seconds: float  #: seconds for which it stays slow after its start
+    started_at_ms: int  #: Unix milliseconds, 0 if it does not say
     sequence: int  #: grows with each heartbeat of one incarnation
 
 
-class Farewell(NamedTuple):
+class Deregistration(NamedTuple):
     """The target says that it goes."""
 
     target_id: str
 
 
-class TargetLog:
+class HeartbeatTracker:
     """Decides which heartbeats count: late ones and those of older incarnations do not.
 
     A heartbeat held up by a cut may arrive after its sender has crashed and the next
@@ -34,7 +34,7 @@
         self.current: Heartbeat | None = None
         self._left: dict[str, int] = {}  #: start of each incarnation that has said farewell
 
-    def take(self, beat: Heartbeat) -> bool:
+    def accept(self, beat: Heartbeat) -> bool:
         """Take a heartbeat; say whether it is news on the present incarnation."""
         if self._has_left(beat):
             return False
@@ -44,23 +44,23 @@
         self.current = beat
         return True
 
-    def leave(self, farewell: Farewell) -> bool:
+    def deregister(self, farewell: Deregistration) -> bool:
         """Take a farewell; say whether it is that of the present incarnation."""
         held = self.current
         if held is None or held.target_id != farewell.target_id:
             self._left.setdefault(farewell.target_id, 0)
             return False
-        self._left[held.target_id] = held.started
+        self._left[held.target_id] = held.started_at_ms
         self.current = None
         return True
 
     def _has_left(self, beat: Heartbeat) -> bool:
         left = self._left.get(beat.target_id)
-        return left is not None and beat.started <= left
+        return left is not None and beat.started_at_ms <= left
 
 
 def _newer(beat: Heartbeat, held: Heartbeat) -> bool:
     if beat.target_id == held.target_id:
-        return (beat.started, beat.sequence) > (held.started, held.sequence)
+        return (beat.started_at_ms, beat.sequence) > (held.started_at_ms, held.sequence)
     # Two incarnations that do not say when they started: the one heard later is the newer.
-    return beat.started >= held.started
+    return beat.started_at_ms >= held.started_at_ms
--- a/dunlinsaddle/mesh/entry.py
+++ b/dunlinsaddle/mesh/ingress.py
@@ -13,7 +13,7 @@
 from dunlinsaddle.calls.messages import Reply, refusal
 from dunlinsaddle.errors import ErrorKind, Failure, Outcome
 from dunlinsaddle.loops import OnLoop
-from dunlinsaddle.mesh.resends import Attempts
+from dunlinsaddle.mesh.retries import AttemptAllowance
 from dunlinsaddle.platform.requests import CallerTerms, caller_response, read_terms, travelling_headers
 from dunlinsaddle.policy.admission import Load
 from dunlinsaddle.policy.context import CallContext, MAX_HOPS, priority_of
@@ -27,14 +27,14 @@
 from random import Random
 from result import Err, Ok
 
-COMMON_TIME = 10.0  #: seconds for a caller that names no time of its own
+DEFAULT_TIMEOUT_SECONDS = 10.0  #: seconds for a caller that names no time of its own
 #: Seconds after which a request comes again that failed for a call without a time of its own: an
 #: objective of the calls' services, within which their queues are served.
-FAILED_BELOW = 0.3
-NO_CONFIGURATION_COME_BACK = 0.5  #: seconds; a fresh node mostly has one within a second
+MIN_RETRY_AFTER_SECONDS = 0.3
+NO_CONFIGURATION_RETRY_SECONDS = 0.5  #: seconds; a fresh node mostly has one within a second
 
 
-class Entry(OnLoop):
+class IngressHandler(OnLoop):
     """Any node is an entry: it finds the route, sets the terms, and sends the request on."""
 
     def __init__(
@@ -69,7 +69,7 @@
         settled = await self.gate.settle(terms)
         table = self.follower.table
         if table is None:
-            return _refused(terms, ErrorKind.NO_CONFIGURATION, NO_CONFIGURATION_COME_BACK)
+            return _refused(terms, ErrorKind.NO_CONFIGURATION, NO_CONFIGURATION_RETRY_SECONDS)
         route = table.find(req.header(b'host'), req.path)
         version = table.configuration.version
         if route is None:
@@ -153,7 +153,7 @@
         keyed: bool,
     ) -> PendingCall:
         now = self.now()
-        time_left = COMMON_TIME if terms.time_left is None else terms.time_left
+        time_left = DEFAULT_TIMEOUT_SECONDS if terms.time_left is None else terms.time_left
         timeout = math.inf if route.timeout is None else route.timeout
         service = choose_service(route.shares, self.rng)
         request_id = terms.request_id or str(uuid6.uuid7())
@@ -183,14 +183,13 @@
         if parent is not None:
             ctx = _on_behalf(ctx, parent.call.ctx)
         headers = travelling_headers(req, self.service, keyed=keyed)
-        tokens = Attempts(route.attempts - 1)
+        tokens = AttemptAllowance(route.attempts - 1)
         return PendingCall(ctx, req.method, req.path, headers, req.body, tokens, WaitTime(), [])
 
 
 def _note_failed(parent: RunningCall, work: PendingCall, reply: Reply) -> None:
     parent.downstream_retry_after = max(
-        parent.downstream_retry_after, reply.retry_after, FAILED_BELOW
-    )
+        parent.downstream_retry_after, reply.retry_after, MIN_RETRY_AFTER_SECONDS)
     parent.downstream_failure = reply.cause or f'{work.ctx.service} {reply.kind or reply.status}'
 
 
--- a/dunlinsaddle/mesh/levels.py
+++ b/dunlinsaddle/mesh/level_gossip.py
@@ -1,21 +1,19 @@
 """Tells other nodes the level that the target beside this one admits, while it refuses some."""
-
 import asyncio
-
 from dunlinsaddle.loops import OnLoop
 from dunlinsaddle.membership.agent import GossipAgent
 from dunlinsaddle.policy.context import LOWEST_LEVEL
-from dunlinsaddle.policy.level import STALE_AFTER_SECONDS, ChainLevels, ReportedLevel
+from dunlinsaddle.policy.level import ChainLevels, ReportedLevel, STALE_AFTER_SECONDS
 from dunlinsaddle.policy.slots import SlotAdmission
 
 #: Seconds between two rounds, half of the time after which a learned level counts as stale: an
 #: entry that misses one word still has the next in time.
-ROUND_SECONDS = STALE_AFTER_SECONDS / 2
+GOSSIP_INTERVAL_SECONDS = STALE_AFTER_SECONDS / 2
 #: Rounds in which an open level is still told, so that those who refuse hear of it at once.
-LAST_ROUNDS = 2
+TRAILING_ROUNDS = 2
 
 
-class LevelNews(OnLoop):
+class LevelGossip(OnLoop):
     """Keeps entries informed that get few requests, or refuse all that would bring them news.
 
     Of the requests beyond a level that admits half, 0.40 began in vain at an entry with five
@@ -32,7 +30,7 @@
     async def run(self) -> None:
         """Tell until cancelled."""
         while True:
-            await asyncio.sleep(ROUND_SECONDS)
+            await asyncio.sleep(GOSSIP_INTERVAL_SECONDS)
             if self.admission.has_rate_limit:
                 # Others of the service may have room, and replies tell entries whether they do.
                 continue
@@ -40,13 +38,13 @@
             if level < LOWEST_LEVEL:
                 # Where entries refuse everything no call comes that would let it be decided anew.
                 level = self.admission.load(self.now()).level
-                self._rounds_left = LAST_ROUNDS
+                self._rounds_left = TRAILING_ROUNDS
             elif self._rounds_left:
                 self._rounds_left -= 1
             else:
                 continue
             self.agent.tell_level(level)
 
-    def hear(self, service: str, level: float) -> None:
+    def receive(self, service: str, level: float) -> None:
         """Take what another node told of the target beside it."""
         self.levels.record_level(self.now(), service, ReportedLevel(level))
--- a/dunlinsaddle/mesh/metrics.py
+++ b/dunlinsaddle/mesh/metrics.py
@@ -3,23 +3,17 @@
 Histograms are plain counts with the label ``le``, observed when somebody asks: recording each
 call with an instrument took 17 us, a tenth of what a node spends on it.
 """
-
 import asyncio
 import math
 from collections import Counter
-from typing import Protocol
-
-from opentelemetry.exporter.prometheus import PrometheusMetricReader
-from prometheus_client import CollectorRegistry, generate_latest
-
 from dunlinsaddle.access.freshness import Freshness
 from dunlinsaddle.access.quotas import Quotas
 from dunlinsaddle.calls.http import HttpRequest, HttpResponse, failure_response
 from dunlinsaddle.errors import ErrorKind, Failure
 from dunlinsaddle.membership.view import MemberView
-from dunlinsaddle.mesh.announce import AnnounceFace
-from dunlinsaddle.mesh.news import TargetNews
+from dunlinsaddle.mesh.heartbeat_endpoint import HeartbeatEndpoint
 from dunlinsaddle.mesh.settings import MeshSettings
+from dunlinsaddle.mesh.target_status import TargetStatus
 from dunlinsaddle.metrics import Metrics, Values, cumulative, observe_stats
 from dunlinsaddle.platform.client import HttpObjectStore
 from dunlinsaddle.platform.store import ObjectStore, place_of
@@ -28,14 +22,19 @@
 from dunlinsaddle.policy.slots import SlotAdmission
 from dunlinsaddle.routes.follow import ConfigFollower
 from dunlinsaddle.stats import LATENCY_BOUNDS, Stats
+from opentelemetry.exporter.prometheus import PrometheusMetricReader
+from prometheus_client import CollectorRegistry, generate_latest
+from typing import Protocol
 
-AGE_MOST = 86_400.0  #: seconds; a gauge takes no infinite age
-NEAREST = 10  #: organisations in a metric: a label for each would grow with the customers
+MAX_AGE_SECONDS = 86_400.0  #: seconds; a gauge takes no infinite age
+MAX_REPORTED_ORGANISATIONS = (
+    10  #: organisations in a metric: a label for each would grow with the customers
+)
 PATH = '/metrics'
 CONTENT_TYPE = b'text/plain; version=0.0.4; charset=utf-8'
 
 
-class Watched(Protocol):
+class MetricsSource(Protocol):
     """The parts of a node that metrics are read from."""
 
     settings: MeshSettings
@@ -44,18 +43,18 @@
     view: MemberView
     budget: RetryBudget
     follower: ConfigFollower
-    announce: AnnounceFace
+    heartbeat_endpoint: HeartbeatEndpoint
     store: ObjectStore
     freshness: Freshness
     ledger: QuotaLedger
-    news: TargetNews
+    target_status: TargetStatus
     quotas: Quotas
 
 
 class MeshMetrics:
     """The instruments of one node, and the face that shows them."""
 
-    def __init__(self, node: Watched) -> None:
+    def __init__(self, node: MetricsSource) -> None:
         self.node = node
         reader = PrometheusMetricReader(disable_target_info=True, scope_info_enabled=False)
         # The exporter puts its collector into the registry of the process, which several nodes
@@ -153,13 +152,17 @@
             'dunlinsaddle.target_rate',
             '{request}/s',
             'Requests a second that the target says it takes, none where it names no rate.',
-            lambda: [] if node.news.said.rate is None else [(node.news.said.rate, {})],
+            lambda: (
+                []
+                if node.target_status.reported.rate is None
+                else [(node.target_status.reported.rate, {})]
+            ),
         )
         add.gauge(
             'dunlinsaddle.target_leaving',
             '1',
             'Whether the target says with its answers that it leaves.',
-            lambda: [(int(node.news.said.leaving), {})],
+            lambda: [(int(node.target_status.reported.leaving), {})],
         )
 
     def _observe_access(self) -> None:
@@ -168,7 +171,7 @@
             'dunlinsaddle.configuration_age',
             's',
             'Seconds since it was proved that no newer configuration is there.',
-            lambda: [(min(node.freshness.age, AGE_MOST), {})],
+            lambda: [(min(node.freshness.age, MAX_AGE_SECONDS), {})],
         )
         add.gauge(
             'dunlinsaddle.quota_left',
@@ -189,7 +192,7 @@
         return [(value, {'of': name}) for name, value in found.items()]
 
     def _ages(self) -> Values:
-        heard = {'target': self.node.announce.heard_at}
+        heard = {'target': self.node.heartbeat_endpoint.last_heartbeat_at}
         match self.node.store:
             case HttpObjectStore(answered_at=answered_at):
                 heard['platform'] = answered_at
@@ -197,7 +200,7 @@
 
 
 def _nearest(tokens: dict[str, float]) -> Values:
-    lowest = sorted(tokens.items(), key=lambda item: item[1])[:NEAREST]
+    lowest = sorted(tokens.items(), key=lambda item: item[1])[:MAX_REPORTED_ORGANISATIONS]
     return [(left, {'organisation': name}) for name, left in lowest]
 
 
--- a/dunlinsaddle/mesh/node.py
+++ b/dunlinsaddle/mesh/node.py
@@ -27,14 +27,14 @@
 from dunlinsaddle.membership.roster import Bootstrap, Roster
 from dunlinsaddle.membership.tuning import GossipTimes
 from dunlinsaddle.membership.view import Member, MemberView, State
-from dunlinsaddle.mesh.announce import AnnounceFace
-from dunlinsaddle.mesh.dialect import MeshDialect
-from dunlinsaddle.mesh.entry import Entry
-from dunlinsaddle.mesh.levels import LevelNews
-from dunlinsaddle.mesh.news import TargetNews
-from dunlinsaddle.mesh.resends import BudgetResends
-from dunlinsaddle.mesh.settings import Bounds, MeshSettings
-from dunlinsaddle.mesh.start import start_times
+from dunlinsaddle.mesh.heartbeat_endpoint import HeartbeatEndpoint
+from dunlinsaddle.mesh.ingress import IngressHandler
+from dunlinsaddle.mesh.level_gossip import LevelGossip
+from dunlinsaddle.mesh.retries import BudgetedRetries
+from dunlinsaddle.mesh.settings import DeploymentLimits, MeshSettings
+from dunlinsaddle.mesh.startup import startup_delays
+from dunlinsaddle.mesh.target_protocol import MeshTargetProtocol
+from dunlinsaddle.mesh.target_status import TargetStatus
 from dunlinsaddle.platform import configuration
 from dunlinsaddle.platform.client import HttpObjectStore
 from dunlinsaddle.platform.store import ObjectStore
@@ -56,29 +56,29 @@
     from dunlinsaddle.mesh.metrics import MeshMetrics
 
 #: Bodies of the store and of requests; the operators' limits bound what callers send.
-BODY_BYTES = 1 << 26
+MAX_BODY_BYTES = 1 << 26
 #: Requests of one connection that run at the same time. Callers that send ahead send a few.
-PIPELINE = 16
+MAX_PIPELINED_REQUESTS = 16
 #: Seconds for which a stopping node still takes requests: callers are told within two
 #: questions, a second apart, that it is not ready, and those on their way arrive after that.
-CALLERS_LEAVE = 2.5
+CALLER_DRAIN_SECONDS = 2.5
 #: Seconds for one call to the store. It answers in 4 ms, and in trouble in some 400 ms.
-STORE_SECONDS = 2.0
+STORE_TIMEOUT_SECONDS = 2.0
 #: Share of the time for which a draining target serves on, after which no call waits for it. The
 #: rest is for calls that are on their way, and for what is refused to be served elsewhere.
-WAITS_ON = 0.5
+DRAIN_WAIT_SHARE = 0.5
 #: Seconds before the kill at which a stopping node ends whatever still runs.
-KILL_MARGIN = 0.4
+KILL_MARGIN_SECONDS = 0.4
 #: The platform gives its processes no secret, and its network is closed: the key keeps out
 #: what speaks to these ports by mistake, no more.
 PEER_KEY = 'dunlinsaddle on the platform'
 #: A restarted node that the store does not answer is found by the pings of its peers: with
 #: twelve of them, each a second, within a second. A death costs no more than the calls that
 #: are out, since routers leave out suspects, so it is concluded soon.
-TIMES = GossipTimes(revisit=1.0, suspicion=3.0)
+GOSSIP_TIMES = GossipTimes(revisit=1.0, suspicion=3.0)
 
 
-class Faces(NamedTuple):
+class ListenAddresses(NamedTuple):
     """The addresses that a node listens on."""
 
     callers: Address
@@ -105,20 +105,20 @@
         self.incarnation = int(env.wall_clock() * 1000)
         self.stats = Stats()
         self.decisions = DecisionLog(logger)
-        self.leaving = False
+        self.is_stopping = False
         self.target = LocalTarget()
         self.running = RunningCalls()
         self.admission = SlotAdmission()
         self.quarantine = Quarantine()
         self.view = MemberView(self._member_changed)
-        self.platform_client = HttpClient(BODY_BYTES)
+        self.platform_client = HttpClient(MAX_BODY_BYTES)
         self.store = store or HttpObjectStore(
-            settings.platform, self.platform_client, STORE_SECONDS
+            settings.platform, self.platform_client, STORE_TIMEOUT_SECONDS
         )
         self._build_membership()
         self._build_calls()
         self._build_faces()
-        self.faces: Faces
+        self.addresses: ListenAddresses
         self.bootstrap: Bootstrap
         self._tasks: set[asyncio.Task[None]] = set()
 
@@ -127,11 +127,11 @@
 
     def _build_membership(self) -> None:
         cfg = self.settings
-        limits = LinkLimits(max_body_bytes=BODY_BYTES)
-        self.agent = GossipAgent(self.view, PEER_KEY, self._rng(), times=TIMES)
+        limits = LinkLimits(max_body_bytes=MAX_BODY_BYTES)
+        self.agent = GossipAgent(self.view, PEER_KEY, self._rng(), times=GOSSIP_TIMES)
         self.links = PeerLinks(PEER_KEY, cfg.instance, limits)
         self.peer_server = PeerServer(PEER_KEY, self._serve_peer, limits, self._peer_fault)
-        self.freshness = Freshness(self.env.lease_clock, cfg.bounds.revoke)
+        self.freshness = Freshness(self.env.lease_clock, cfg.limits.revocation_seconds)
         self.follower = ConfigFollower(
             self.store,
             configuration.KIND,
@@ -149,7 +149,7 @@
         self.follower.watches = self._watches
         self.agent.gossip.on_news = self.follower.hear
         self.ledger = QuotaLedger(
-            cfg.bounds.quota_slack, cfg.bounds.quota_window, cfg.bounds.quota_overage
+            cfg.limits.quota_slack, cfg.limits.quota_window_seconds, cfg.limits.quota_overage
         )
         peers = GossipPeers(self.agent, self.view, lambda: self.bootstrap.strangers)
         self.quotas = Quotas(cfg.instance, peers, self.ledger, self.follower.organisation)
@@ -160,7 +160,7 @@
 
     def _build_calls(self) -> None:
         cfg = self.settings
-        self.client = HttpClient(BODY_BYTES, allow_close_delimited=True)
+        self.client = HttpClient(MAX_BODY_BYTES, allow_close_delimited=True)
         self.executor = Executor(
             self.target,
             self.admission,
@@ -169,12 +169,12 @@
             self.stats,
             self.quarantine,
             on_target_crash=self.deaths.broadcast,
-            dialect=MeshDialect(self.target),
+            dialect=MeshTargetProtocol(self.target),
         )
         self.target.on_start = self._target_started
         self.target.on_drain = self._target_drains
-        self.level_news = LevelNews(self.agent, self.admission, self.executor.levels)
-        self.agent.gossip.on_level = self.level_news.hear
+        self.level_gossip = LevelGossip(self.agent, self.admission, self.executor.levels)
+        self.agent.gossip.on_level = self.level_gossip.receive
         self.router = Router(cfg.domain, self._rng(), cfg.instance)
         self.dispatcher = Dispatcher(
             cfg.instance,
@@ -185,18 +185,22 @@
             self.stats,
             self.quarantine,
         )
-        bounds = cfg.bounds
-        self.budget = RetryBudget(bounds.retry_ratio, bounds.retry_extra, bounds.retry_window)
-        self.dispatcher.resend_policy = BudgetResends(self.budget)
+        limits = cfg.limits
+        self.budget = RetryBudget(
+            limits.retry_ratio, limits.extra_retries, limits.retry_window_seconds
+        )
+        self.dispatcher.resend_policy = BudgetedRetries(self.budget)
         self.dispatcher.decisions = self.decisions
         self.executor.decisions = self.decisions
-        self.news = TargetNews(self.target, self.admission, self.decisions, self._announce_self)
-        self.executor.on_target_status = self.news.hear
-        self.executor.target_status = self.news.told
+        self.target_status = TargetStatus(
+            self.target, self.admission, self.decisions, self._announce_self
+        )
+        self.executor.on_target_status = self.target_status.update
+        self.executor.target_status = self.target_status.peer_report
 
     def _build_faces(self) -> None:
         cfg = self.settings
-        self.entry = Entry(
+        self.ingress = IngressHandler(
             self.follower,
             Gate(self.follower, self.freshness),
             self.dispatcher,
@@ -208,7 +212,7 @@
             self._ended,
             self.quotas,
         )
-        self.announce = AnnounceFace(
+        self.heartbeat_endpoint = HeartbeatEndpoint(
             cfg.service,
             cfg.target,
             self.target,
@@ -216,53 +220,57 @@
             self._announce_self,
             self.logger,
         )
-        limits = HttpLimits(max_body_bytes=BODY_BYTES)
-        self.callers_http = HttpListener(self.entry.handle, limits, self._fault, pipeline=PIPELINE)
-        self.announce_http = HttpListener(self.announce.handle, HttpLimits(), self._fault)
-        self.ready_http = HttpListener(self._answer_ready, HttpLimits(), self._fault)
+        limits = HttpLimits(max_body_bytes=MAX_BODY_BYTES)
+        self.callers_listener = HttpListener(
+            self.ingress.handle, limits, self._fault, pipeline=MAX_PIPELINED_REQUESTS
+        )
+        self.heartbeat_listener = HttpListener(
+            self.heartbeat_endpoint.handle, HttpLimits(), self._fault
+        )
+        self.readiness_listener = HttpListener(self._answer_ready, HttpLimits(), self._fault)
         self.metrics: MeshMetrics | None = None  #: built when somebody asks for them
-        self.metrics_http = HttpListener(self._answer_metrics, HttpLimits(), self._fault)
+        self.metrics_listener = HttpListener(self._answer_metrics, HttpLimits(), self._fault)
 
-    async def start(self) -> Faces:
+    async def start(self) -> ListenAddresses:
         """Listen on all faces and start the loops. Raises OSError when an address is taken."""
         cfg = self.settings
-        self.faces = Faces(
-            await self.callers_http.listen(cfg.callers),
-            await self.announce_http.listen(cfg.announce),
-            await self.ready_http.listen(cfg.ready),
+        self.addresses = ListenAddresses(
+            await self.callers_listener.listen(cfg.callers),
+            await self.heartbeat_listener.listen(cfg.announce),
+            await self.readiness_listener.listen(cfg.ready),
             await self.peer_server.listen(cfg.peers),
             await self.agent.listen(self.env.open_gossip, cfg.gossip),
-            await self.metrics_http.listen(cfg.metrics),
+            await self.metrics_listener.listen(cfg.metrics),
         )
-        self.agent.start(self.me())
+        self.agent.start(self.local_member())
         roster = Roster(self.store, cfg.domain)
         self.bootstrap = Bootstrap(roster, self.agent.gossip, self._rng())
-        times = start_times(self._rng(), first_start=cfg.first_start)
-        acquainted_at = self.now() + times.acquainted
-        self._spawn(_later(times.rosters, self.bootstrap.run))
-        self._spawn(_later(times.configuration, partial(self.follower.run, acquainted_at)))
-        self._spawn(self.level_news.run())
+        delays = startup_delays(self._rng(), first_start=cfg.first_start)
+        membership_known_at = self.now() + delays.membership
+        self._spawn(_later(delays.roster, self.bootstrap.run))
+        self._spawn(_later(delays.configuration, partial(self.follower.run, membership_known_at)))
+        self._spawn(self.level_gossip.run())
         proofs = ProofAsker(
             self.follower, self.freshness, self.view, self.watchers, cfg.instance, self._rng()
         )
         self._spawn(proofs.run())
         self._spawn(self.agent.run())
-        return self.faces
+        return self.addresses
 
     async def drain(self) -> None:
         """Take no new work at the target, let callers leave, and end what is in progress."""
         loop = self.loop
-        kill_at = loop.time() + self.settings.bounds.grace - KILL_MARGIN
-        self.leaving = True
+        kill_at = loop.time() + self.settings.limits.grace_seconds - KILL_MARGIN_SECONDS
+        self.is_stopping = True
         self.target.node_draining = True
         self._announce_self()
         self.executor.refuse_waiting()
-        self.callers_http.start_closing()
+        self.callers_listener.start_closing()
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout_at(kill_at):
-                await asyncio.sleep(CALLERS_LEAVE)
-                self.callers_http.stop_listening()
-                await self.callers_http.wait_idle()
+                await asyncio.sleep(CALLER_DRAIN_SECONDS)
+                self.callers_listener.stop_listening()
+                await self.callers_listener.wait_idle()
                 await self.peer_server.wait_idle()
                 await self.running.wait_idle()
 
@@ -271,7 +279,12 @@
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
-        faces = (self.callers_http, self.announce_http, self.ready_http, self.metrics_http)
+        faces = (
+            self.callers_listener,
+            self.heartbeat_listener,
+            self.readiness_listener,
+            self.metrics_listener,
+        )
         for face in faces:
             face.close()
         if self.metrics is not None:
@@ -283,7 +296,7 @@
         self.client.close()
         self.platform_client.close()
 
-    def me(self) -> Member:
+    def local_member(self) -> Member:
         """Give the word that this node spreads of itself."""
         state = State.DRAINING if self.target.draining else State.ALIVE
         return Member(
@@ -292,12 +305,12 @@
             state,
             self.settings.domain,
             self.target.service,
-            self.faces.peers,
-            self.faces.gossip,
+            self.addresses.peers,
+            self.addresses.gossip,
         )
 
     async def _answer_ready(self, req: HttpRequest) -> HttpResponse:
-        ready = self.follower.version > 0 and self.bootstrap.settled and not self.leaving
+        ready = self.follower.version > 0 and self.bootstrap.settled and not self.is_stopping
         return HttpResponse(200 if ready else 503, [], b'')
 
     async def _answer_metrics(self, req: HttpRequest) -> HttpResponse:
@@ -322,7 +335,7 @@
         near = [m for m in self._others() if m.domain == domain]
         self.agent.tell_news(found.version, near)
         limits = found.limits
-        self.callers_http.limits = HttpLimits(
+        self.callers_listener.limits = HttpLimits(
             limits.header_bytes,
             limits.body_bytes,
             header_timeout=limits.header_timeout,
@@ -330,7 +343,7 @@
         )
 
     def _announce_self(self) -> None:
-        self.agent.announce(self.me())
+        self.agent.announce(self.local_member())
 
     def _member_changed(self, before: Member | None, member: Member) -> None:
         # The dead count as well while they are held: too many nodes is the safe side.
@@ -341,21 +354,21 @@
         extra = {'member': member.instance, 'state': member.state.name.lower()}
         self.logger.info('member changed', extra={**extra, 'service': member.service})
 
-    def take_bounds(self, bounds: Bounds) -> None:
+    def update_limits(self, limits: DeploymentLimits) -> None:
         """Take what the settings say now of the deployment's promises."""
-        self.settings = self.settings._replace(bounds=bounds)
-        self.budget.set_limits(bounds.retry_ratio, bounds.retry_extra)
-        self.freshness.most = bounds.revoke
-        self.ledger.slack = bounds.quota_slack
-        self.ledger.window = bounds.quota_window
-        self.ledger.overage = bounds.quota_overage
+        self.settings = self.settings._replace(limits=limits)
+        self.budget.set_limits(limits.retry_ratio, limits.extra_retries)
+        self.freshness.most = limits.revocation_seconds
+        self.ledger.slack = limits.quota_slack
+        self.ledger.window = limits.quota_window_seconds
+        self.ledger.overage = limits.quota_overage
 
     def _target_started(self) -> None:
         self.admission.reset_after_restart(self.now())
-        self.news.restarted()
+        self.target_status.reset()
 
     def _target_drains(self) -> None:
-        seconds = self.settings.bounds.drain * WAITS_ON
+        seconds = self.settings.limits.drain_seconds * DRAIN_WAIT_SHARE
         self.loop.call_later(seconds, self._end_waits)
 
     def _end_waits(self) -> None:
@@ -369,7 +382,7 @@
         self.stats.took(Hop.WHOLE, took)
 
     async def _serve_peer(self, call: Call) -> Reply:
-        self.news.recall(call.request_id, call.target_state)
+        self.target_status.restore(call.request_id, call.target_state)
         return await self.executor.execute(read_call_frame(call, self.now()))
 
     def _peer_fault(self, call: Call) -> None:
--- a/dunlinsaddle/mesh/resends.py
+++ b/dunlinsaddle/mesh/retries.py
@@ -1,5 +1,4 @@
 """Which requests go to a further target, and the budget that pays for it."""
-
 from dunlinsaddle.calls.call_state import PendingCall
 from dunlinsaddle.calls.messages import Reply
 from dunlinsaddle.errors import ErrorKind, Outcome
@@ -7,17 +6,17 @@
 from dunlinsaddle.policy.retry import LOST_ANSWER_KINDS, REFUSED_BY_NODE, RetryAllowance
 from dunlinsaddle.policy.retry_budget import RetryBudget
 
-FAILED = 500  #: the status of a target that failed by itself
-REFUSALS_MOST = 3  #: nodes in turn that may refuse a request before its caller is told
+SERVER_ERROR_STATUS = 500  #: the status of a target that failed by itself
+MAX_NODE_REFUSALS = 3  #: nodes in turn that may refuse a request before its caller is told
 #: Sends of one request that targets turn away unrun. Of a service that turns away 55 in 100, six
 #: serve 97 in 100, and of the requests that need eight calls 80 in 100; twelve serve nearly all.
-TURNED_AWAY_MOST = 12
+MAX_SENDS_AFTER_REFUSAL = 12
 #: Sends of one request whose answers are lost. Of a service that loses four in ten, four serve 97
 #: in 100 (two: 84); more would leave no time, as a lost answer takes as long as a good one.
-LOST_MOST = 4
+MAX_SENDS_AFTER_LOSS = 4
 
 
-class Attempts(RetryAllowance):
+class AttemptAllowance(RetryAllowance):
     """The targets that a request may still be sent to; none of them goes down the chain."""
 
     refused = 0
@@ -28,7 +27,7 @@
         return 0
 
 
-class BudgetResends(OnLoop):
+class BudgetedRetries(OnLoop):
     """Sends again what provably did not run, and what is idempotent and was lost.
 
     What a node refused before it reached a target costs nothing but the time. Everything else
@@ -50,13 +49,13 @@
     def spend(self, call: PendingCall, reply: Reply) -> bool:
         """Pay for sending it; False when there is nothing left to pay with."""
         allowance = call.allowance
-        assert isinstance(allowance, Attempts)
+        assert isinstance(allowance, AttemptAllowance)
         if reply.outcome is Outcome.NOT_RUN and ErrorKind(reply.kind) in REFUSED_BY_NODE:
             allowance.refused += 1
-            return allowance.refused < REFUSALS_MOST
+            return allowance.refused < MAX_NODE_REFUSALS
         allowance.sends += 1
         turned_away = reply.kind == ErrorKind.TARGET_REFUSED.value
-        if allowance.sends > (TURNED_AWAY_MOST if turned_away else LOST_MOST):
+        if allowance.sends > (MAX_SENDS_AFTER_REFUSAL if turned_away else MAX_SENDS_AFTER_LOSS):
             return False
         if not self.budget.spend(self.now(), call.ctx.service, call.ctx.priority.level):
             return False
@@ -85,4 +84,4 @@
     One that failed for a call of its own is told when to come back. Sent again at once, its
     request would meet the same overload further down, and repeat all calls on the way there.
     """
-    return reply.status == FAILED and reply.retry_after <= 0
+    return reply.status == SERVER_ERROR_STATUS and reply.retry_after <= 0
--- a/dunlinsaddle/mesh/dialect.py
+++ b/dunlinsaddle/mesh/target_protocol.py
@@ -6,7 +6,7 @@
 from dunlinsaddle.platform.requests import answers, read_answer, read_said, target_headers
 
 
-class MeshDialect:
+class MeshTargetProtocol:
     """Names the incarnation that may run the call, and checks that the answer is to it."""
 
     def __init__(self, target: LocalTarget) -> None:
--- a/dunlinsaddle/platform/heartbeats.py
+++ b/dunlinsaddle/platform/heartbeats.py
@@ -8,7 +8,7 @@
 from result import Err, Ok, Result
 
 from dunlinsaddle.calls.http import HttpRequest, HttpResponse, json_response
-from dunlinsaddle.mesh.beats import Farewell, Heartbeat
+from dunlinsaddle.mesh.heartbeats import Deregistration, Heartbeat
 from dunlinsaddle.platform.units import read_seconds
 from dunlinsaddle.settings import read_address
 
@@ -25,14 +25,14 @@
     born: int = 0  #: Unix milliseconds of the target's start
 
 
-def read_heartbeat(req: HttpRequest) -> Result[Heartbeat | Farewell, str]:
+def read_heartbeat(req: HttpRequest) -> Result[Heartbeat | Deregistration, str]:
     """Decode one request to the address for heartbeats; Err says what is wrong with it."""
     path = req.path.partition('?')[0]
     target_id = unquote(path.removeprefix(PATH))
     if not path.startswith(PATH) or not target_id or '/' in target_id:
         return Err(f'no such path: {req.path}')
     if req.method == 'DELETE':
-        return Ok(Farewell(target_id))
+        return Ok(Deregistration(target_id))
     if req.method != 'PUT':
         return Err(f'no such method: {req.method}')
     try:
@@ -44,8 +44,8 @@
                 address=read_address(beat.address),
                 slots=beat.slots,
                 draining=beat.state == 'draining',
-                cold_for=read_seconds(beat.cold_remaining),
-                started=beat.born,
+                warmup_seconds=read_seconds(beat.cold_remaining),
+                started_at_ms=beat.born,
                 sequence=beat.sequence,
             )
         )
--- a/dunlinsaddle/platform/node_file.py
+++ b/dunlinsaddle/platform/node_file.py
@@ -5,7 +5,7 @@
 import msgspec
 from result import Err, Ok, Result
 
-from dunlinsaddle.mesh.settings import Bounds, MeshSettings
+from dunlinsaddle.mesh.settings import DeploymentLimits, MeshSettings
 from dunlinsaddle.platform.units import read_seconds
 from dunlinsaddle.settings import SettingError, read_address
 
@@ -66,16 +66,18 @@
         target=read_address(found.app_address),
         service=found.service,
         platform=read_address(found.platform.address),
-        bounds=Bounds(
-            drain=read_seconds(bounds['drain']),
-            grace=read_seconds(bounds['grace']),
+        limits=DeploymentLimits(
+            drain_seconds=read_seconds(bounds['drain']),
+            grace_seconds=read_seconds(bounds['grace']),
             retry_ratio=float(bounds['retryBudgetRatio']),
-            retry_extra=float(bounds['retryBudgetExtra']),
-            retry_window=read_seconds(bounds['budgetWindow']),
+            extra_retries=float(bounds['retryBudgetExtra']),
+            retry_window_seconds=read_seconds(bounds['budgetWindow']),
             quota_slack=float(bounds.get('quotaSlack', 0.0)),
             quota_overage=float(bounds.get('quotaOverage', 0.0)),
-            quota_window=read_seconds(bounds.get('quotaWindow', '5s')),
-            revoke=read_seconds(bounds['revoke']) if bounds.get('revokeEverywhere') else None,
+            quota_window_seconds=read_seconds(bounds.get('quotaWindow', '5s')),
+            revocation_seconds=read_seconds(bounds['revoke'])
+            if bounds.get('revokeEverywhere')
+            else None,
         ),
         first_start=found.first_start,
     )
--- a/tests/fakes/mesh.py
+++ b/tests/fakes/mesh.py
@@ -1,35 +1,32 @@
 """Whole nodes of the platform with their targets in one loop, over one store."""
-
 import asyncio
-from collections import Counter
-from functools import partial
-from random import Random
-from typing import Any, NamedTuple
-
 import msgspec
-from result import Err
-
+from collections import Counter
 from dunlinsaddle.calls.client import HttpClient
 from dunlinsaddle.calls.connection import Answered
 from dunlinsaddle.calls.http import HttpLimits, HttpRequest, HttpResponse
 from dunlinsaddle.calls.listener import HttpListener
 from dunlinsaddle.mesh.node import MeshNode
-from dunlinsaddle.mesh.settings import Bounds, MeshSettings
+from dunlinsaddle.mesh.settings import DeploymentLimits, MeshSettings
 from dunlinsaddle.platform.store import Unavailable
 from dunlinsaddle.settings import Address
+from functools import partial
+from random import Random
+from result import Err
 from tests.builders import build_configuration, build_environment, build_logger, build_route
 from tests.fakes.network import network_here
 from tests.fakes.site import HOST, paused_wall_clock
 from tests.fakes.store import FakeStore
+from typing import Any, NamedTuple
 
-BOUNDS = Bounds(
-    drain=2.0,
-    grace=6.0,
+LIMITS = DeploymentLimits(
+    drain_seconds=2.0,
+    grace_seconds=6.0,
     retry_ratio=0.2,
-    retry_extra=55.0,
-    retry_window=10.0,
+    extra_retries=55.0,
+    retry_window_seconds=10.0,
     quota_slack=20.0,
-    revoke=5.0,
+    revocation_seconds=5.0,
 )
 BEAT_SECONDS = 1.5
 
@@ -45,24 +42,24 @@
 class MeshTarget:
     """A target that announces itself, checks whom a request expects, and signs its answers."""
 
-    def __init__(self, service: str, *, slots: int = 40, seconds: float = 0.01) -> None:
+    def __init__(self, service: str, *, slots: int = 40, response_seconds: float = 0.01) -> None:
         self.service = service
         self.slots = slots
-        self.seconds = seconds
+        self.response_seconds = response_seconds
         self.target_id = f'i-{id(self):x}'
         self.state = 'ready'
-        self.born = 1
+        self.started_at_ms = 1
         self.sequence = 0
-        self.beating = True
+        self.heartbeats_enabled = True
         self.runs: Counter[str] = Counter()
         self.cancelled = 0
-        self.seen: list[HttpRequest] = []
-        self.script: Any = None  #: answers in place of the target
-        self.says: list[tuple[bytes, bytes]] = []  #: headers that it adds to its answers
+        self.requests: list[HttpRequest] = []
+        self.respond: Any = None  #: answers in place of the target
+        self.extra_headers: list[tuple[bytes, bytes]] = []  #: headers that it adds to its answers
         #: Of each request that arrived: when, and at which instance it began, by its service.
         self.arrivals: list[Arrival] = []
         self.node: MeshNode
-        self.face = HttpListener(self.handle, HttpLimits())
+        self.listener = HttpListener(self.handle, HttpLimits())
 
     async def handle(self, req: HttpRequest) -> HttpResponse:
         request_id = req.header(b'request-id')
@@ -71,25 +68,27 @@
         if req.header(b'expected-instance') not in ('', self.target_id):
             return HttpResponse(421, [], b'')
         self.runs[request_id] += 1
-        self.seen.append(req)
-        if self.script is not None:
-            return await self.script(req)
+        self.requests.append(req)
+        if self.respond is not None:
+            return await self.respond(req)
         try:
-            await asyncio.sleep(self.seconds)
+            await asyncio.sleep(self.response_seconds)
         except asyncio.CancelledError:
             self.cancelled += 1
             raise
-        return self.signed(req)
+        return self.signed_response(req)
 
-    def signed(self, req: HttpRequest, status: int = 200, body: bytes = b'ok') -> HttpResponse:
+    def signed_response(
+        self, req: HttpRequest, status: int = 200, body: bytes = b'ok'
+    ) -> HttpResponse:
         names = [
             (b'request-id', req.header(b'request-id').encode()),
             (b'server-signature', self.target_id.encode()),
-            *self.says,
+            *self.extra_headers,
         ]
         return HttpResponse(status, names, body)
 
-    def beat(self, **changes: Any) -> HttpRequest:
+    def build_heartbeat(self, **changes: Any) -> HttpRequest:
         self.sequence += 1
         said = {
             'service': self.service,
@@ -100,20 +99,22 @@
             'state': self.state,
             'coldRemaining': '0ms',
             'sequence': self.sequence,
-            'born': self.born,
+            'born': self.started_at_ms,
             **changes,
         }
         return HttpRequest('PUT', f'/instances/{self.target_id}', [], msgspec.json.encode(said), '')
 
-    async def announce(self, client: HttpClient, **changes: Any) -> int:
+    async def send_heartbeat(self, client: HttpClient, **changes: Any) -> int:
         """Send one heartbeat; gives the status of the answer."""
-        exchange = await client.send(self.node.settings.announce, self.beat(**changes), 1)
+        exchange = await client.send(
+            self.node.settings.announce, self.build_heartbeat(**changes), 1
+        )
         return exchange.response.status if isinstance(exchange, Answered) else 0
 
-    async def keep_beating(self, client: HttpClient) -> None:
+    async def run_heartbeats(self, client: HttpClient) -> None:
         while True:
-            if self.beating:
-                await self.announce(client)
+            if self.heartbeats_enabled:
+                await self.send_heartbeat(client)
             await asyncio.sleep(BEAT_SECONDS)
 
 
@@ -133,7 +134,7 @@
 
     async def _ask(self, method: str, *args: Any, **kwargs: Any) -> Any:
         store = self.mesh.store
-        if self.name in self.mesh.cut_off:
+        if self.name in self.mesh.nodes_without_store:
             store.calls += 1
             return Err(Unavailable('status 503'))
         return await getattr(store, method)(*args, **kwargs)
@@ -144,7 +145,7 @@
 
     def __init__(self, seed: int = 5) -> None:
         self.store = FakeStore()
-        self.cut_off: set[str] = set()  #: nodes that the store turns away
+        self.nodes_without_store: set[str] = set()  #: nodes that the store turns away
         self.isolated: set[str] = set()  #: nodes that nothing reaches but their callers
         self.stopped: set[str] = set()
         self.first_start = False
@@ -164,25 +165,25 @@
         value = build_configuration(version, routes, tenants)
         await self.store.put('config', 'main', value, held.version if held else 0)
 
-    async def place(
+    async def add_node(
         self, name: str, service: str, domain: str = 'd', port: int = 0, **target: Any
     ) -> MeshNode:
         """Start a target and the node beside it."""
         port = port or 100 * (len(self.nodes) + 1)
         made = MeshTarget(service, **target)
-        node = self.node(name, service, domain, port)
+        node = self.build_node(name, service, domain, port)
         made.node = node
         self.targets[name] = made
-        await made.face.listen(node.settings.target)
+        await made.listener.listen(node.settings.target)
         await node.start()
-        self._beats.append(asyncio.create_task(made.keep_beating(self.client)))
+        self._beats.append(asyncio.create_task(made.run_heartbeats(self.client)))
         return node
 
-    def node(self, name: str, service: str, domain: str, port: int) -> MeshNode:
+    def build_node(self, name: str, service: str, domain: str, port: int) -> MeshNode:
         at = [Address(HOST, port + n) for n in range(7)]
         store = Address(HOST, 9)
         cfg = MeshSettings(
-            name, domain, 'r', *at[:6], at[6], service, store, BOUNDS, self.first_start
+            name, domain, 'r', *at[:6], at[6], service, store, LIMITS, self.first_start
         )
         env = build_environment(rng=Random(self.rng.random()), wall_clock=paused_wall_clock)
         node = MeshNode(cfg, env, build_logger(), StoreOfNode(self, name))
@@ -206,7 +207,7 @@
     def isolate(self, names: set[str]) -> None:
         """Cut nodes off from all others and from the store; the empty set heals."""
         self.isolated = names
-        self.cut_off = set(names)
+        self.nodes_without_store = set(names)
         network_here().silent = {self.nodes[name].settings.gossip for name in names}
 
     async def kill(self, name: str) -> None:
@@ -219,7 +220,7 @@
     async def restart(self, name: str) -> None:
         """Start a node again that was killed: at its address, knowing nothing."""
         cfg = self.nodes[name].settings
-        node = self.node(name, cfg.service, cfg.domain, cfg.callers.port)
+        node = self.build_node(name, cfg.service, cfg.domain, cfg.callers.port)
         self.targets[name].node = node
         self.stopped.discard(name)
         await node.start()
--- a/tests/mesh_case.py
+++ b/tests/mesh_case.py
@@ -5,17 +5,17 @@
 from tests.clock import PausedClockTest
 from tests.fakes.mesh import Mesh
 
-SETTLED = 4.0  #: seconds after which all nodes know one another and the configuration
+SETTLE_SECONDS = 4.0  #: seconds after which all nodes know one another and the configuration
 
 
 class MeshTest(PausedClockTest):
-    def mesh(
+    def run_mesh(
         self,
         scenario,
         *,
         configure=True,
         targets=('a:front', 'b:deep'),
-        settled=SETTLED,
+        settle_seconds=SETTLE_SECONDS,
         **terms,
     ):
         """Run a scenario; ``targets`` are names with service and, if not the usual one, domain."""
@@ -25,8 +25,8 @@
             if configure:
                 await mesh.configure(**terms)
             for target in targets:
-                await mesh.place(*target.split(':'))
-            await asyncio.sleep(settled)
+                await mesh.add_node(*target.split(':'))
+            await asyncio.sleep(settle_seconds)
             try:
                 return await scenario(mesh)
             finally:
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -1,9 +1,9 @@
+
 import asyncio
 import io
 import json
 import os
-
-from dunlinsaddle.calls.decisions import MAX_LINES_PER_SECOND, Event
+from dunlinsaddle.calls.decisions import Event, MAX_LINES_PER_SECOND
 from dunlinsaddle.logs import LINES_HELD, PatientOutput, start_logs
 from tests.clock import PausedClockTest
 from tests.fakes.mesh import Mesh
@@ -21,7 +21,7 @@
             mesh.stream = io.StringIO()
             await mesh.configure()
             for name, service in (pair.split(':') for pair in targets):
-                node = await mesh.place(name, service)
+                node = await mesh.add_node(name, service)
                 logger = start_logs(mesh.stream, 'info', instance=name, domain='d')
                 node.logger = node.decisions.logger = logger
             await asyncio.sleep(SETTLE_SECONDS)
@@ -56,8 +56,8 @@
                 raise ConnectionError
 
             for name in 'bc':
-                mesh.targets[name].script = broken
-                mesh.targets[name].face.on_fault = lambda req: None
+                mesh.targets[name].respond = broken
+                mesh.targets[name].listener.on_fault = lambda req: None
             await mesh.call('a', '/deep/x', request_id='r-1')
 
         _, lines = self.run_and_read_log(scenario, ('a:front', 'b:deep', 'c:deep'))
@@ -70,7 +70,7 @@
     def test_a_refusal_logs_the_load_that_caused_it(self):
         async def scenario(mesh):
             mesh.targets['b'].state = 'draining'
-            await mesh.targets['b'].announce(mesh.client)
+            await mesh.targets['b'].send_heartbeat(mesh.client)
             await mesh.call('a', '/deep/x', request_id='r-1')
 
         _, lines = self.run_and_read_log(scenario)
@@ -99,8 +99,8 @@
             async def broken(req):
                 raise ConnectionError
 
-            mesh.targets['b'].script = broken
-            mesh.targets['b'].face.on_fault = lambda req: None
+            mesh.targets['b'].respond = broken
+            mesh.targets['b'].listener.on_fault = lambda req: None
             for number in range(4):
                 await mesh.call('a', '/deep/x', request_id=f'r-{number}')
 
@@ -118,10 +118,10 @@
         # of the entry show that the call was lost, where it went next, and who answered.
         async def scenario(mesh):
             for name in 'bc':
-                mesh.targets[name].seconds = 0.3
+                mesh.targets[name].response_seconds = 0.3
             call = asyncio.create_task(mesh.call('a', '/deep/x', request_id='r-1'))
             await asyncio.sleep(0.1)
-            busy = next(name for name in 'bc' if mesh.targets[name].seen)
+            busy = next(name for name in 'bc' if mesh.targets[name].requests)
             await mesh.nodes[busy].stop()
             await call
 
@@ -139,14 +139,16 @@
         # cause is a call further down that was refused; the line of the request names it.
         async def scenario(mesh):
             mesh.targets['b'].state = 'draining'
-            await mesh.targets['b'].announce(mesh.client)
+            await mesh.targets['b'].send_heartbeat(mesh.client)
 
             async def call_deep(req):
                 request_id = f'{req.header(b"request-id")}.1'
                 response = await mesh.call('a', '/deep/x', request_id=request_id)
-                return mesh.targets['a'].signed(req, status=500 if response.status != 200 else 200)
+                return mesh.targets['a'].signed_response(
+                    req, status=500 if response.status != 200 else 200
+                )
 
-            mesh.targets['a'].script = call_deep
+            mesh.targets['a'].respond = call_deep
             await mesh.call('a', '/front/x', request_id='r-1')
 
         text, lines = self.run_and_read_log(scenario)
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -1,9 +1,7 @@
 """A target that says with its answers that it leaves, while its heartbeats still say ready."""
-
 import asyncio
-
-from tests.fakes.mesh import BOUNDS
-from tests.fakes.mesh_load import ENTRIES, TARGETS, Callers
+from tests.fakes.mesh import LIMITS
+from tests.fakes.mesh_load import Callers, ENTRIES, TARGETS
 from tests.mesh_case import MeshTest
 
 LEAVING = [(b'server-leaving', b'1')]
@@ -20,11 +18,11 @@
             await callers.ask_for(1.0)
             return await scenario(mesh, callers)
 
-        return self.mesh(run, configure=False, targets=targets)
+        return self.run_mesh(run, configure=False, targets=targets)
 
     async def leave(self, mesh, callers, name='t'):
         """Let a target say so; give when every entry has passed on an answer that does."""
-        mesh.targets[name].says = LEAVING
+        mesh.targets[name].extra_headers = LEAVING
         await callers.ask_for(2.0)
         return asyncio.get_running_loop().time()
 
@@ -33,7 +31,7 @@
         told = callers.told.get(b'server-leaving', {})
         sent = {one.request_id: one for one in callers.asked}
         return sum(
-            sent[a.request_id].when > told.get(a.origin, float('inf')) + BOUNDS.drain
+            sent[a.request_id].when > told.get(a.origin, float('inf')) + LIMITS.drain_seconds
             for a in mesh.targets[name].arrivals
             if a.request_id in sent
         )
@@ -65,8 +63,8 @@
         async def scenario(mesh, callers):
             await self.leave(mesh, callers)
             target = mesh.targets['t']
-            target.says, target.born, target.sequence = [], 9000, 0
-            await target.announce(mesh.client)
+            target.extra_headers, target.started_at_ms, target.sequence = [], 9000, 0
+            await target.send_heartbeat(mesh.client)
             # Entries that met its end avoid it for some seconds.
             await callers.ask_for(8.0)
             await callers.end()
@@ -94,14 +92,14 @@
 
         async def scenario(mesh, callers):
             target = mesh.targets['t']
-            target.says = [(b'server-limit', b'0.5')]
+            target.extra_headers = [(b'server-limit', b'0.5')]
             await mesh.call('a', '/orders/x')
             asked = [
                 asyncio.create_task(mesh.call('a', '/orders/x', timeout=8.0)) for _ in range(4)
             ]
             await asyncio.sleep(2.2)
             target.state = 'draining'
-            await target.announce(mesh.client)
+            await target.send_heartbeat(mesh.client)
             acknowledged_at = asyncio.get_running_loop().time()
             answers = await asyncio.gather(*asked)
             last = target.arrivals[-1].when - acknowledged_at
@@ -109,5 +107,5 @@
 
         long = {'timeout': '8000ms', 'targetLatency': None}
         last, statuses = self.fleet(scenario, (*ENTRIES, 't:deep:d'), **long)
-        self.assertLessEqual(last, BOUNDS.drain)
+        self.assertLessEqual(last, LIMITS.drain_seconds)
         self.assertEqual({200, 503}, statuses)
--- a/tests/test_level_news.py
+++ b/tests/test_level_gossip.py
@@ -1,18 +1,15 @@
 """Entries that get few requests know which of them a service further down would refuse."""
-
 import asyncio
 import math
-from random import Random
-
-from testtools import TestCase
-
 from dunlinsaddle.membership.messages import Level, Sealer
-from dunlinsaddle.mesh.levels import ROUND_SECONDS
+from dunlinsaddle.mesh.level_gossip import GOSSIP_INTERVAL_SECONDS
 from dunlinsaddle.policy.context import LOWEST_LEVEL
 from dunlinsaddle.policy.level import ChainLevels, ReportedLevel
+from random import Random
 from tests.builders import build_member
 from tests.fakes.network import Machines
 from tests.mesh_case import MeshTest
+from testtools import TestCase
 
 ADMITTED = 320.0  #: half of the lowest rank
 WORDS_A_ROUND = 2  #: that an entry hears
@@ -29,8 +26,8 @@
     now, told = 0.0, 0.0
     while now < seconds:
         now += rng.expovariate(rate)
-        while news and told + ROUND_SECONDS < now:
-            told += rng.expovariate(WORDS_A_ROUND / ROUND_SECONDS)
+        while news and told + GOSSIP_INTERVAL_SECONDS < now:
+            told += rng.expovariate(WORDS_A_ROUND / GOSSIP_INTERVAL_SECONDS)
             levels.record_level(told, 'deep', ReportedLevel(ADMITTED + rng.uniform(-5, 5)))
         while answers and answers[0] <= now:
             levels.record_response(answers.pop(0), 'deep', 'lookup', ReportedLevel(ADMITTED))
@@ -80,7 +77,7 @@
         for _ in range(4):
             for name in list(net.nodes)[:targets]:
                 net.send(name, net.nodes[name].tell_level(300.0))
-            net.run(ROUND_SECONDS)
+            net.run(GOSSIP_INTERVAL_SECONDS)
         return times
 
     def test_an_absurd_level_is_refused(self):
@@ -104,7 +101,7 @@
         # the first request of this entry that it would refuse is refused here.
         async def scenario(mesh):
             mesh.targets['b'].slots = 4
-            mesh.targets['b'].seconds = 0.2
+            mesh.targets['b'].response_seconds = 0.2
             await asyncio.sleep(2)
             await mesh.call('a', '/deep/x')
             levels = mesh.nodes['a'].executor.levels
@@ -115,7 +112,7 @@
             await asyncio.gather(*flood)
             return free, full
 
-        free, full = self.mesh(scenario, targets=('a:front', 'b:deep', 'c:front'))
+        free, full = self.run_mesh(scenario, targets=('a:front', 'b:deep', 'c:front'))
         self.assertEqual(LOWEST_LEVEL, free)
         self.assertLess(full, LOWEST_LEVEL)
 
--- a/tests/test_mesh.py
+++ b/tests/test_mesh.py
@@ -12,10 +12,10 @@
     def test_a_request_is_answered_by_a_target_beside_another_node(self):
         async def scenario(mesh):
             response = await mesh.call('a', '/deep/x?y=1', caller_service='forged', colour='red')
-            (seen,) = mesh.targets['b'].seen
+            (seen,) = mesh.targets['b'].requests
             return response, seen
 
-        response, seen = self.mesh(scenario)
+        response, seen = self.run_mesh(scenario)
         self.assertEqual((200, b'ok'), (response.status, response.body))
         self.assertEqual('/deep/x?y=1', seen.path)
         self.assertEqual('h.example', seen.header(b'host'))
@@ -26,9 +26,9 @@
         async def scenario(mesh):
             await mesh.call('a', '/deep/x')
             await mesh.call('a', '/deep/x', timeout=0.4)
-            return [int(r.header(b'deadline-milliseconds')) for r in mesh.targets['b'].seen]
+            return [int(r.header(b'deadline-milliseconds')) for r in mesh.targets['b'].requests]
 
-        first, second = self.mesh(scenario)
+        first, second = self.run_mesh(scenario)
         self.assertTrue(700 < first <= 800, first)
         self.assertTrue(300 < second <= 400, second)
 
@@ -42,19 +42,19 @@
             response = await mesh.call('a', '/deep/x')
             return response.status, float(dict(response.headers)[b'retry-after']) > 0
 
-        self.assertEqual(404, self.mesh(unknown))
-        self.assertEqual((503, True), self.mesh(fresh, configure=False))
+        self.assertEqual(404, self.run_mesh(unknown))
+        self.assertEqual((503, True), self.run_mesh(fresh, configure=False))
 
     def test_a_request_is_answered_when_the_timeout_of_its_route_has_passed(self):
         async def scenario(mesh):
-            mesh.targets['b'].seconds = 3.0
+            mesh.targets['b'].response_seconds = 3.0
             loop = asyncio.get_running_loop()
             began = loop.time()
             response = await mesh.call('a', '/deep/x')
             await asyncio.sleep(0.1)
             return response.status, loop.time() - began, mesh.targets['b'].cancelled
 
-        status, took, cancelled = self.mesh(scenario)
+        status, took, cancelled = self.run_mesh(scenario)
         self.assertEqual((504, 1), (status, cancelled))
         self.assertLess(took, 1.0)
 
@@ -63,32 +63,32 @@
             response = await mesh.nodes['a']._answer_ready(None)
             return response.status
 
-        self.assertEqual((503, 200), (self.mesh(ready, configure=False), self.mesh(ready)))
+        self.assertEqual((503, 200), (self.run_mesh(ready, configure=False), self.run_mesh(ready)))
 
     def test_a_restarted_node_is_ready_once_it_knows_where_targets_are(self):
         # Callers come back as soon as the node says it is ready, and their first requests are
         # refused for want of a target: the configuration is one answer of the store away, the
         # members are that and a ping.
         async def scenario(mesh):
-            node = await mesh.place('c', 'front')
+            node = await mesh.add_node('c', 'front')
             for _ in range(1000):
                 if (await node._answer_ready(None)).status == 200:
                     break
                 await asyncio.sleep(0.001)
             return (await mesh.call('c', '/deep/x')).status
 
-        self.assertEqual(200, self.mesh(scenario))
+        self.assertEqual(200, self.run_mesh(scenario))
 
     def test_a_node_alone_is_ready_though_those_listed_are_gone(self):
         # After all were killed the roster lists nodes that will never answer.
         async def scenario(mesh):
             for name in ('a', 'b'):
                 await mesh.nodes[name].stop()
-            node = await mesh.place('c', 'front')
+            node = await mesh.add_node('c', 'front')
             await asyncio.sleep(2.0)
             return (await node._answer_ready(None)).status
 
-        self.assertEqual(200, self.mesh(scenario))
+        self.assertEqual(200, self.run_mesh(scenario))
 
 
 class LateWaitTest(MeshTest):
@@ -100,14 +100,14 @@
             b = mesh.targets['b']
             b.slots = 1
             await asyncio.sleep(2)
-            b.seconds = 60.0
+            b.response_seconds = 60.0
             first = asyncio.create_task(mesh.call('a', '/deep/x', 'POST'))
             await asyncio.sleep(0.1)
             waited = await mesh.call('a', '/deep/y', 'POST', timeout=0.5)
             first.cancel()
-            return waited.status, b'retry-after' in dict(waited.headers), len(b.seen)
+            return waited.status, b'retry-after' in dict(waited.headers), len(b.requests)
 
-        self.assertEqual((503, True, 1), self.mesh(scenario, kind='unsafe', timeout='3000ms'))
+        self.assertEqual((503, True, 1), self.run_mesh(scenario, kind='unsafe', timeout='3000ms'))
 
 
 class MembershipTest(MeshTest):
@@ -124,7 +124,7 @@
             mesh = Mesh()
             mesh.store.down = True
             for name, service in (('a', 'front'), ('b', 'deep'), ('c', 'front')):
-                await mesh.place(name, service)
+                await mesh.add_node(name, service)
             await asyncio.sleep(20)
             try:
                 return await scenario(mesh)
@@ -140,19 +140,19 @@
             mesh.store.down = True
             await mesh.nodes['a'].stop()
             await asyncio.sleep(0.5)
-            node = mesh.node('a', 'front', 'd', 100)
+            node = mesh.build_node('a', 'front', 'd', 100)
             mesh.targets['a'].node = node
             await node.start()
             await asyncio.sleep(6.0)
             return (await mesh.call('a', '/deep/x')).status
 
-        self.assertEqual(200, self.mesh(scenario, targets=('a:front', 'b:deep', 'c:deep')))
+        self.assertEqual(200, self.run_mesh(scenario, targets=('a:front', 'b:deep', 'c:deep')))
 
 
 class StopTest(MeshTest):
     def test_a_stopping_node_answers_what_it_has_read(self):
         async def scenario(mesh):
-            mesh.targets['b'].seconds = 0.5
+            mesh.targets['b'].response_seconds = 0.5
             calls = [asyncio.create_task(mesh.call('a', '/deep/x')) for _ in range(5)]
             await asyncio.sleep(0.1)
             ended = asyncio.create_task(mesh.nodes['a'].drain())
@@ -163,7 +163,7 @@
             await ended
             return ready, late.status, dict(late.headers).get(b'connection'), statuses
 
-        self.assertEqual((503, 200, b'close', [200] * 5), self.mesh(scenario))
+        self.assertEqual((503, 200, b'close', [200] * 5), self.run_mesh(scenario))
 
     def test_others_stop_choosing_the_target_of_a_stopping_node(self):
         async def scenario(mesh):
@@ -175,7 +175,7 @@
             return set(statuses), state
 
         targets = ('a:front', 'b:deep', 'c:deep')
-        self.assertEqual(({200}, State.DRAINING), self.mesh(scenario, targets=targets))
+        self.assertEqual(({200}, State.DRAINING), self.run_mesh(scenario, targets=targets))
 
 
 class MetricsTest(MeshTest):
@@ -187,7 +187,7 @@
             exchange = await mesh.client.send(node.settings.metrics, req, 1)
             return exchange.response.body.decode()
 
-        families = {f.name: f for f in text_string_to_metric_families(self.mesh(scenario))}
+        families = {f.name: f for f in text_string_to_metric_families(self.run_mesh(scenario))}
         whole = [
             sample.value
             for sample in families['dunlinsaddle_latency_bucket'].samples
@@ -205,7 +205,7 @@
             exchange = await mesh.client.send(mesh.nodes['a'].settings.metrics, req, 1)
             return exchange.response.body.decode()
 
-        before, found, _ = self.mesh(scenario).partition('_bucket')
+        before, found, _ = self.run_mesh(scenario).partition('_bucket')
         self.assertTrue(found)
         for name in ('configuration_version', 'configuration_revision', 'platform_calls_total'):
             self.assertIn(f'\ndunlinsaddle_{name} ', before)
--- a/tests/test_mesh_calls.py
+++ b/tests/test_mesh_calls.py
@@ -1,9 +1,9 @@
+
 import asyncio
 from collections import Counter
-from typing import Any
-
 from dunlinsaddle.calls.http import HttpResponse
 from tests.mesh_case import MeshTest
+from typing import Any
 
 
 class ResendTest(MeshTest):
@@ -14,13 +14,13 @@
             b = mesh.targets['b']
 
             async def failing(req):
-                return b.signed(req, status=500)
+                return b.signed_response(req, status=500)
 
-            b.script = failing
+            b.respond = failing
             return {(await mesh.call('a', '/deep/x')).status for _ in range(6)}
 
         targets = ('a:front', 'b:deep', 'c:deep')
-        self.assertEqual({200}, self.mesh(scenario, targets=targets))
+        self.assertEqual({200}, self.run_mesh(scenario, targets=targets))
 
     def test_calls_leave_targets_that_lose_most_of_their_answers(self):
         # Two of three targets break off within a millisecond in place of most answers. They
@@ -29,21 +29,21 @@
             target = mesh_now.targets['b']
             if sum(target.runs.values()) % 5:
                 return HttpResponse(200, [], b'')
-            return target.signed(req)
+            return target.signed_response(req)
 
         mesh_now: Any = None
 
         async def scenario(mesh):
             nonlocal mesh_now
             mesh_now = mesh
-            mesh.targets['b'].script = mesh.targets['c'].script = lose
+            mesh.targets['b'].respond = mesh.targets['c'].respond = lose
             statuses = []
             for _ in range(150):
                 statuses.append((await mesh.call('a', '/deep/x')).status)
                 await asyncio.sleep(0.01)
             return sum(status != 200 for status in statuses)
 
-        failed = self.mesh(scenario, targets=('a:front', 'b:deep', 'c:deep', 'd:deep'))
+        failed = self.run_mesh(scenario, targets=('a:front', 'b:deep', 'c:deep', 'd:deep'))
         self.assertLess(failed, 15)
 
 
@@ -63,7 +63,7 @@
             await mesh.call('a', '/deep/x')
             return len(looks)
 
-        self.assertEqual(1, self.mesh(scenario))
+        self.assertEqual(1, self.run_mesh(scenario))
 
 
 class ParentTest(MeshTest):
@@ -77,7 +77,7 @@
                 request_id = req.header(b'request-id')
                 await asyncio.sleep(0.3)
                 down = await mesh.call('a', '/deep/x', request_id=f'{request_id}.7f')
-                return a.signed(req, status=down.status)
+                return a.signed_response(req, status=down.status)
 
             execute = mesh.nodes['b'].executor.execute
 
@@ -86,12 +86,12 @@
                 return await execute(work)
 
             mesh.nodes['b'].executor.execute = watched
-            a.script = calling
+            a.respond = calling
             response = await mesh.call('a', '/front/x', request_id='root', priority='0')
             alone = await mesh.call('a', '/deep/x', request_id='other.7f')
             return response.status, alone.status, seen
 
-        first, alone, seen = self.mesh(scenario)
+        first, alone, seen = self.run_mesh(scenario)
         self.assertEqual((200, 200), (first, alone))
         self.assertEqual((1, 0), (seen['root.7f'].hop, seen['other.7f'].hop))
 
@@ -101,18 +101,18 @@
         # time; refused at the entry it has not run, and comes back soon.
         async def scenario(mesh):
             a, b = mesh.targets['a'], mesh.targets['b']
-            b.slots, b.seconds = 20, 0.05
-            await b.announce(mesh.client)
+            b.slots, b.response_seconds = 20, 0.05
+            await b.send_heartbeat(mesh.client)
 
             async def calling(req):
                 request_id = req.header(b'request-id')
                 for number in range(2):
                     down = await mesh.call('a', '/deep/x', request_id=f'{request_id}.{number}')
                     if down.status != 200:
-                        return a.signed(req, status=500)
-                return a.signed(req)
+                        return a.signed_response(req, status=500)
+                return a.signed_response(req)
 
-            a.script = calling
+            a.respond = calling
             calls = []
             for number in range(900):
                 request_id = f'root{number}'
@@ -122,7 +122,7 @@
             return Counter([(await call).status for call in calls])
 
         targets = ('a:front', 'b:deep', 'c:other')
-        ended = self.mesh(scenario, targets=targets)
+        ended = self.run_mesh(scenario, targets=targets)
         self.assertGreater(ended[200], 400)
         self.assertGreater(ended[503], 150)
         self.assertLess(ended[500], 150)
@@ -134,19 +134,19 @@
             async def calling(req):
                 request_id = req.header(b'request-id')
                 await mesh.call('a', '/deep/x', request_id=f'{request_id}.1')
-                return a.signed(req)
+                return a.signed_response(req)
 
             async def failing(req):
-                return a.signed(req, status=500)
+                return a.signed_response(req, status=500)
 
-            a.script, mesh.targets['c'].script = calling, failing
+            a.respond, mesh.targets['c'].respond = calling, failing
             for number in range(20):
                 await mesh.call('c', '/front/x', request_id=f'root{number}')
             now = asyncio.get_running_loop().time()
             return mesh.nodes['a'].budget._window_of('deep').repeat_count(now)
 
         targets = ('a:front', 'b:deep', 'c:front')
-        self.assertGreater(self.mesh(scenario, targets=targets), 0)
+        self.assertGreater(self.run_mesh(scenario, targets=targets), 0)
 
     def test_a_request_that_failed_further_down_is_not_sent_again_at_once(self):
         # A service further down is refused; the target above answers 500. The caller is told
@@ -154,22 +154,24 @@
         async def scenario(mesh):
             targets = {name: mesh.targets[name] for name in 'ac'}
             mesh.targets['b'].state = 'draining'
-            await mesh.targets['b'].announce(mesh.client)
+            await mesh.targets['b'].send_heartbeat(mesh.client)
 
             def calling(name):
                 async def script(req):
                     request_id = f'{req.header(b"request-id")}.1'
                     down = await mesh.call(name, '/deep/x', request_id=request_id)
-                    return targets[name].signed(req, status=200 if down.status == 200 else 500)
+                    return targets[name].signed_response(
+                        req, status=200 if down.status == 200 else 500
+                    )
 
                 return script
 
             for name, target in targets.items():
-                target.script = calling(name)
+                target.respond = calling(name)
             response = await mesh.call('b', '/front/x')
             return response, sum(sum(target.runs.values()) for target in targets.values())
 
-        response, runs = self.mesh(scenario, targets=('a:front', 'b:deep', 'c:front'))
+        response, runs = self.run_mesh(scenario, targets=('a:front', 'b:deep', 'c:front'))
         self.assertEqual((500, 1), (response.status, runs))
         self.assertGreater(float(dict(response.headers)[b'retry-after']), 0)
 
@@ -178,13 +180,13 @@
             b = mesh.targets['b']
 
             async def failing(req):
-                return b.signed(req, status=500, body=b'its own words')
+                return b.signed_response(req, status=500, body=b'its own words')
 
-            b.script = failing
+            b.respond = failing
             mesh.targets['c'].state = 'draining'
-            await mesh.targets['c'].announce(mesh.client)
+            await mesh.targets['c'].send_heartbeat(mesh.client)
             return [await mesh.call('a', '/deep/x') for _ in range(6)]
 
         targets = ('a:front', 'b:deep', 'c:deep')
-        responses = self.mesh(scenario, targets=targets)
+        responses = self.run_mesh(scenario, targets=targets)
         self.assertEqual({(500, b'its own words')}, {(r.status, r.body) for r in responses})
--- a/tests/test_mesh_failures.py
+++ b/tests/test_mesh_failures.py
@@ -1,7 +1,5 @@
 """Targets and nodes that fail, as callers of whole nodes see it."""
-
 import asyncio
-
 from dunlinsaddle.calls.http import HttpLimits, HttpResponse
 from dunlinsaddle.calls.listener import HttpListener
 from tests.mesh_case import MeshTest
@@ -15,10 +13,10 @@
             async def spoiled(req):
                 return HttpResponse(200, [], b'spoiled')
 
-            mesh.targets['b'].script = spoiled
+            mesh.targets['b'].respond = spoiled
             return {(await mesh.call('a', '/deep/x')).body for _ in range(6)}
 
-        self.assertEqual({b'ok'}, self.mesh(scenario, targets=('a:front', 'b:deep', 'c:deep')))
+        self.assertEqual({b'ok'}, self.run_mesh(scenario, targets=('a:front', 'b:deep', 'c:deep')))
 
     def test_a_request_that_is_not_idempotent_goes_to_one_target_only(self):
         async def scenario(mesh):
@@ -26,24 +24,24 @@
                 return HttpResponse(200, [], b'spoiled')
 
             for name in 'bc':
-                mesh.targets[name].script = spoiled
+                mesh.targets[name].respond = spoiled
             statuses = {(await mesh.call('a', '/deep/x', 'POST')).status for _ in range(10)}
             runs = mesh.targets['b'].runs + mesh.targets['c'].runs
             return statuses, max(runs.values())
 
         targets = ('a:front', 'b:deep', 'c:deep')
-        self.assertEqual(({502}, 1), self.mesh(scenario, targets=targets, kind='unsafe'))
+        self.assertEqual(({502}, 1), self.run_mesh(scenario, targets=targets, kind='unsafe'))
 
     def test_what_a_target_says_it_did_not_run_is_sent_to_another_one(self):
         async def scenario(mesh):
             async def full(req):
                 return HttpResponse(503, [(b'not-executed', b'1')], b'')
 
-            mesh.targets['b'].script = full
+            mesh.targets['b'].respond = full
             return {(await mesh.call('a', '/deep/x', 'POST')).status for _ in range(10)}
 
         targets = ('a:front', 'b:deep', 'c:deep')
-        self.assertEqual({200}, self.mesh(scenario, targets=targets, kind='unsafe'))
+        self.assertEqual({200}, self.run_mesh(scenario, targets=targets, kind='unsafe'))
 
     def test_calls_leave_a_target_that_turns_them_away(self):
         # Each call that a target turns away costs a try out of a budget that all nodes share,
@@ -53,14 +51,14 @@
             async def full(req):
                 return HttpResponse(503, [(b'not-executed', b'1')], b'')
 
-            mesh.targets['b'].script = full
+            mesh.targets['b'].respond = full
             for target in mesh.targets.values():
-                target.seconds = 0.05
+                target.response_seconds = 0.05
             for _ in range(6):
                 await asyncio.gather(*(mesh.call('a', '/deep/x') for _ in range(10)))
-            return len(mesh.targets['b'].seen)
+            return len(mesh.targets['b'].requests)
 
-        arrivals = self.mesh(scenario, targets=('a:front', 'b:deep', 'c:deep'))
+        arrivals = self.run_mesh(scenario, targets=('a:front', 'b:deep', 'c:deep'))
         self.assertLess(arrivals, 24)
 
     def sends_until_answered(self, spoilt: HttpResponse, times: int, **terms):
@@ -68,18 +66,18 @@
 
         async def scenario(mesh):
             async def script(req):
-                target = next(t for t in mesh.targets.values() if req in t.seen)
+                target = next(t for t in mesh.targets.values() if req in t.requests)
                 runs = sum(t.runs[req.header(b'request-id')] for t in mesh.targets.values())
-                return spoilt if runs <= times else target.signed(req)
+                return spoilt if runs <= times else target.signed_response(req)
 
             for name in 'bcd':
-                mesh.targets[name].script = script
+                mesh.targets[name].respond = script
             method = 'POST' if terms.get('kind') == 'unsafe' else 'GET'
             response = await mesh.call('a', '/deep/x', method)
-            return response.status, [len(mesh.targets[name].seen) for name in 'bcd']
+            return response.status, [len(mesh.targets[name].requests) for name in 'bcd']
 
         targets = ('a:front', 'b:deep', 'c:deep', 'd:deep')
-        return self.mesh(scenario, targets=targets, **terms)
+        return self.run_mesh(scenario, targets=targets, **terms)
 
     def test_a_call_that_is_turned_away_unrun_is_tried_again_where_it_was(self):
         # All targets of a service turn away part of what arrives, while their health checks
@@ -103,23 +101,23 @@
         # answers 421, and the caller is told that nothing ran.
         async def scenario(mesh):
             b = mesh.targets['b']
-            b.beating = False
+            b.heartbeats_enabled = False
             b.target_id = 'i-other'
             response = await mesh.call('a', '/deep/x')
-            return response.status, len(b.seen)
+            return response.status, len(b.requests)
 
-        self.assertEqual((503, 0), self.mesh(scenario))
+        self.assertEqual((503, 0), self.run_mesh(scenario))
 
     def test_the_work_ends_when_the_caller_has_gone(self):
         async def scenario(mesh):
-            mesh.targets['b'].seconds = 0.7
+            mesh.targets['b'].response_seconds = 0.7
             call = asyncio.create_task(mesh.call('a', '/deep/x'))
             await asyncio.sleep(0.2)
             call.cancel()
             await asyncio.sleep(0.1)
             return mesh.targets['b'].cancelled
 
-        self.assertEqual(1, self.mesh(scenario))
+        self.assertEqual(1, self.run_mesh(scenario))
 
     def test_a_request_that_kills_its_target_is_stopped_over_all_nodes(self):
         # Each target that runs it dies, and is back after two seconds. Its caller sends it
@@ -131,18 +129,18 @@
             def deadly(target):
                 async def run(req):
                     if not req.path.endswith('kill'):
-                        return target.signed(req)
+                        return target.signed_response(req)
                     deaths.append(target)
-                    target.face.close()
+                    target.listener.close()
                     await asyncio.sleep(2.0)
-                    target.face = HttpListener(target.handle, HttpLimits())
-                    await target.face.listen(target.node.settings.target)
-                    return target.signed(req)
+                    target.listener = HttpListener(target.handle, HttpLimits())
+                    await target.listener.listen(target.node.settings.target)
+                    return target.signed_response(req)
 
                 return run
 
             for name in 'bcd':
-                mesh.targets[name].script = deadly(mesh.targets[name])
+                mesh.targets[name].respond = deadly(mesh.targets[name])
             killed, others = [], []
             for turn in range(24):
                 entry = 'abcd'[turn % 4]
@@ -152,7 +150,7 @@
             return killed[-1], others.count(200)
 
         targets = ('a:front', 'b:deep', 'c:deep', 'd:deep')
-        last, served = self.mesh(scenario, targets=targets, attempts=2)
+        last, served = self.run_mesh(scenario, targets=targets, attempts=2)
         self.assertEqual((422, True), (last, len(deaths) <= 3))
         self.assertGreaterEqual(served, 22)
 
@@ -173,6 +171,6 @@
                 await asyncio.sleep(0.05)
             return statuses
 
-        statuses = self.mesh(scenario, targets=('a:front', 'b:deep', 'c:deep', 'd:deep'))
+        statuses = self.run_mesh(scenario, targets=('a:front', 'b:deep', 'c:deep', 'd:deep'))
         self.assertGreaterEqual(statuses.count(200), 47)
         self.assertEqual({200}, set(statuses[-20:]))
--- a/tests/test_mesh_announce.py
+++ b/tests/test_mesh_heartbeats.py
@@ -10,11 +10,11 @@
         async def scenario(mesh):
             b = mesh.targets['b']
             b.state = 'draining'
-            acknowledged = await b.announce(mesh.client)
+            acknowledged = await b.send_heartbeat(mesh.client)
             response = await mesh.call('a', '/deep/x')
-            return acknowledged, response.status, len(b.seen)
+            return acknowledged, response.status, len(b.requests)
 
-        self.assertEqual((200, 503, 0), self.mesh(scenario))
+        self.assertEqual((200, 503, 0), self.run_mesh(scenario))
 
     def test_an_acknowledgement_binds_also_while_the_store_is_away(self):
         # A target is told that its leaving is known, and is then given a request. The store
@@ -23,14 +23,14 @@
             mesh.store.down = True
             b = mesh.targets['b']
             b.state = 'draining'
-            acknowledged = await b.announce(mesh.client)
+            acknowledged = await b.send_heartbeat(mesh.client)
             response = await mesh.call('a', '/deep/x')
             mesh.store.down = False
             await asyncio.sleep(3)
             later = await mesh.call('a', '/deep/x')
-            return acknowledged, response.status, later.status, len(b.seen)
+            return acknowledged, response.status, later.status, len(b.requests)
 
-        self.assertEqual((200, 503, 503, 0), self.mesh(scenario))
+        self.assertEqual((200, 503, 503, 0), self.run_mesh(scenario))
 
     def test_an_outage_of_the_store_alone_loses_nothing(self):
         # Callers notice nothing: members and configuration that are known hold without it.
@@ -42,14 +42,14 @@
                 await asyncio.sleep(1)
             return set(statuses)
 
-        self.assertEqual({200}, self.mesh(scenario))
+        self.assertEqual({200}, self.run_mesh(scenario))
 
     def test_heartbeats_that_name_another_target_or_cannot_be_read_change_nothing(self):
         async def scenario(mesh):
             b = mesh.targets['b']
-            b.beating = False
+            b.heartbeats_enabled = False
             statuses = [
-                await b.announce(mesh.client, **wrong)
+                await b.send_heartbeat(mesh.client, **wrong)
                 for wrong in (
                     {'service': 'other', 'state': 'draining'},
                     {'address': '127.0.0.1:1', 'state': 'draining'},
@@ -60,29 +60,29 @@
             ]
             return statuses, (await mesh.call('a', '/deep/x')).status
 
-        self.assertEqual(([400] * 5, 200), self.mesh(scenario))
+        self.assertEqual(([400] * 5, 200), self.run_mesh(scenario))
 
     def test_a_late_heartbeat_of_an_earlier_start_is_not_taken(self):
         # The target crashed behind a cut and started again under the same id. A heartbeat of
         # its first start arrives late and says that it drains: the second one must serve on.
         async def scenario(mesh):
             b = mesh.targets['b']
-            b.beating = False
-            b.born, b.sequence = 5000, 0
-            await b.announce(mesh.client)
-            await b.announce(mesh.client, born=1, sequence=900, state='draining')
+            b.heartbeats_enabled = False
+            b.started_at_ms, b.sequence = 5000, 0
+            await b.send_heartbeat(mesh.client)
+            await b.send_heartbeat(mesh.client, born=1, sequence=900, state='draining')
             return (await mesh.call('a', '/deep/x')).status
 
-        self.assertEqual(200, self.mesh(scenario))
+        self.assertEqual(200, self.run_mesh(scenario))
 
     def test_a_target_that_started_again_under_its_id_serves_at_once(self):
         async def scenario(mesh):
             b = mesh.targets['b']
-            b.beating = False
-            await b.announce(mesh.client, state='draining')
-            b.born, b.sequence = 9000, 0
-            await b.announce(mesh.client)
+            b.heartbeats_enabled = False
+            await b.send_heartbeat(mesh.client, state='draining')
+            b.started_at_ms, b.sequence = 9000, 0
+            await b.send_heartbeat(mesh.client)
             await asyncio.sleep(1)
             return (await mesh.call('a', '/deep/x')).status
 
-        self.assertEqual(200, self.mesh(scenario))
+        self.assertEqual(200, self.run_mesh(scenario))
--- a/tests/test_named_rate.py
+++ b/tests/test_named_rate.py
@@ -1,22 +1,20 @@
 """A target that names in its answers how many requests a second it takes."""
-
 import asyncio
-
 from dunlinsaddle.calls.decisions import DecisionLog
 from dunlinsaddle.calls.messages import RelayedTargetState
 from dunlinsaddle.calls.target import AdvertisedState, LocalTarget
-from dunlinsaddle.mesh.news import TargetNews
+from dunlinsaddle.mesh.target_status import TargetStatus
 from dunlinsaddle.policy.slots import SlotAdmission
 from dunlinsaddle.settings import Address
 from standins.soak_says import allowed
 from tests.builders import build_logger
 from tests.clock import PausedClockTest
-from tests.fakes.mesh_load import ENTRIES, TARGETS, Callers
+from tests.fakes.mesh_load import Callers, ENTRIES, TARGETS
 from tests.mesh_case import MeshTest
 
 
 def name_rate(target, text):
-    target.says = [(b'server-limit', text.encode())] if text else []
+    target.extra_headers = [(b'server-limit', text.encode())] if text else []
 
 
 class NamedRateTest(MeshTest):
@@ -30,7 +28,7 @@
             await callers.ask_for(asked)
             return await scenario(mesh, callers)
 
-        return self.mesh(run, configure=False, targets=targets)
+        return self.run_mesh(run, configure=False, targets=targets)
 
     def named_by(self, names, text, seconds=10.0):
         """Let targets name a rate; give callers, the most in a window of each, and since when."""
@@ -137,13 +135,13 @@
         async def scenario():
             admission = SlotAdmission()
             decisions = DecisionLog(build_logger())
-            news = TargetNews(LocalTarget(), admission, decisions)
+            status = TargetStatus(LocalTarget(), admission, decisions)
             loop, held = asyncio.get_running_loop(), []
             began = loop.time()
             for came, sent, rate in steps:
                 await asyncio.sleep(began + came - loop.time())
-                news.hear('q', began + sent, AdvertisedState(rate))
-                held.append(news.said.rate)
+                status.update('q', began + sent, AdvertisedState(rate))
+                held.append(status.reported.rate)
             return held
 
         return self.run_paused(scenario())
@@ -159,12 +157,12 @@
     def test_the_word_of_the_incarnation_before_does_not_count(self):
         async def scenario():
             decisions = DecisionLog(build_logger())
-            news = TargetNews(LocalTarget(), SlotAdmission(), decisions)
+            status = TargetStatus(LocalTarget(), SlotAdmission(), decisions)
             sent_at = asyncio.get_running_loop().time()
             await asyncio.sleep(1)
-            news.restarted()
-            news.hear('q', sent_at, AdvertisedState(5.0))
-            return news.said
+            status.reset()
+            status.update('q', sent_at, AdvertisedState(5.0))
+            return status.reported
 
         self.assertEqual(AdvertisedState(), self.run_paused(scenario()))
 
@@ -173,16 +171,16 @@
 
         async def scenario():
             target = LocalTarget()
-            news = TargetNews(target, SlotAdmission(), DecisionLog(build_logger()))
-            target.on_start = news.restarted
+            status = TargetStatus(target, SlotAdmission(), DecisionLog(build_logger()))
+            target.on_start = status.reset
             target.start_incarnation('deep', Address('h', 1), 'i-1', 7)
             held = []
             for told in (RelayedTargetState('i-1/6', 3.0), RelayedTargetState('i-1/7', 4.0)):
-                news.recall('q', told)
-                held.append(news.said.rate)
+                status.restore('q', told)
+                held.append(status.reported.rate)
             await asyncio.sleep(1)
-            news.hear('q', asyncio.get_running_loop().time(), AdvertisedState(9.0))
-            news.recall('q', RelayedTargetState('i-1/7', 4.0))
-            return [*held, news.said.rate]
+            status.update('q', asyncio.get_running_loop().time(), AdvertisedState(9.0))
+            status.restore('q', RelayedTargetState('i-1/7', 4.0))
+            return [*held, status.reported.rate]
 
         self.assertEqual([None, 4.0, 9.0], self.run_paused(scenario()))
--- a/tests/test_organisations.py
+++ b/tests/test_organisations.py
@@ -6,7 +6,7 @@
 from dunlinsaddle.platform.configuration import read_configuration
 from dunlinsaddle.records.models import Rank
 from tests.builders import build_configuration, build_route, build_tenant
-from tests.fakes.mesh import BOUNDS
+from tests.fakes.mesh import LIMITS
 from tests.mesh_case import MeshTest
 from testtools import TestCase
 
@@ -17,14 +17,14 @@
 
 class KeyedMeshTest(MeshTest):
     def keyed(self, scenario, **terms):
-        return self.mesh(scenario, **{'tenants': TENANTS, **terms})
+        return self.run_mesh(scenario, **{'tenants': TENANTS, **terms})
 
 
 class KeyTest(KeyedMeshTest):
     def test_the_target_hears_whose_request_it_is_and_not_the_key(self):
         async def scenario(mesh):
             answer = await mesh.call('a', '/deep/x', authorization=BEARER, tenant='zeta')
-            return answer.status, mesh.targets['b'].seen[0]
+            return answer.status, mesh.targets['b'].requests[0]
 
         status, seen = self.keyed(scenario)
         self.assertEqual(200, status)
@@ -38,23 +38,23 @@
                 await mesh.call('a', '/deep/x', request_id='q2'),
                 await mesh.call('a', '/deep/x', request_id='q3', authorization=f'Basic {SECRET}'),
             ]
-            return [a.status for a in answers], mesh.targets['b'].seen
+            return [a.status for a in answers], mesh.targets['b'].requests
 
         self.assertEqual(([401, 401, 401], []), self.keyed(scenario))
 
     def test_a_public_route_needs_no_key(self):
         async def scenario(mesh):
             answer = await mesh.call('a', '/deep/x', tenant='zeta')
-            return answer.status, mesh.targets['b'].seen[0].header(b'tenant')
+            return answer.status, mesh.targets['b'].requests[0].header(b'tenant')
 
         self.assertEqual((200, ''), self.keyed(scenario, public=True))
 
     def test_without_organisations_headers_go_on_as_they_came(self):
         async def scenario(mesh):
             await mesh.call('a', '/front/x', authorization=BEARER)
-            return mesh.targets['a'].seen[0].header(b'authorization')
+            return mesh.targets['a'].requests[0].header(b'authorization')
 
-        self.assertEqual(BEARER, self.mesh(scenario))
+        self.assertEqual(BEARER, self.run_mesh(scenario))
 
     def test_a_key_is_in_no_line_of_the_log(self):
         async def scenario(mesh):
@@ -101,16 +101,16 @@
             exchange = await mesh.client.send(entry, call, 1.0)
             assert isinstance(exchange, Answered)
             seen.append(exchange.response.status)
-            return mesh.targets['a'].signed(req)
+            return mesh.targets['a'].signed_response(req)
 
-        mesh.targets['a'].script = script
+        mesh.targets['a'].respond = script
         answer = await mesh.call('a', '/front/x', authorization=BEARER)
         return answer.status, seen
 
     def test_a_call_of_a_running_request_counts_as_its_organisations(self):
         async def scenario(mesh):
             statuses = await self.through(mesh, lambda req: req.header(b'request-id') + '.1')
-            return statuses, mesh.targets['b'].seen[0].header(b'tenant')
+            return statuses, mesh.targets['b'].requests[0].header(b'tenant')
 
         self.assertEqual(((200, [200]), 'acme'), self.keyed(scenario))
 
@@ -126,18 +126,18 @@
                 headers = [(b'host', b'h.example'), (b'request-id', call_id.encode())]
                 call = HttpRequest('GET', '/deep/y', headers, b'', '')
                 await mesh.client.send(mesh.nodes['a'].settings.callers, call, 1.0)
-                return mesh.targets['a'].signed(req)
+                return mesh.targets['a'].signed_response(req)
 
-            mesh.targets['a'].script = script
+            mesh.targets['a'].respond = script
             await mesh.call('a', '/front/x', authorization=BEARER)
-            return [req.header(b'tenant') for req in mesh.targets['b'].seen]
+            return [req.header(b'tenant') for req in mesh.targets['b'].requests]
 
         self.assertEqual(['acme'], self.keyed(scenario))
 
     def test_an_id_that_extends_no_running_request_is_no_way_in(self):
         async def scenario(mesh):
             _, statuses = await self.through(mesh, lambda req: 'made-up.1')
-            return statuses, mesh.targets['b'].seen
+            return statuses, mesh.targets['b'].requests
 
         self.assertEqual(([503], []), self.keyed(scenario))
 
@@ -201,7 +201,7 @@
 
     def quota_mesh(self, scenario):
         targets = ('a:front', 'b:deep', 'c:deep')
-        return self.keyed(scenario, tenants=list(self.TENANTS), targets=targets, settled=8)
+        return self.keyed(scenario, tenants=list(self.TENANTS), targets=targets, settle_seconds=8)
 
     async def flood(self, mesh, count, path='/deep/x', key=BEARER):
         calls = [
@@ -217,7 +217,7 @@
             return [a.status for a in answers].count(200), sorted(waits)
 
         served, waits = self.quota_mesh(scenario)
-        slack = BOUNDS.quota_slack
+        slack = LIMITS.quota_slack
         self.assertEqual(40 - served, len(waits))
         self.assertLessEqual(served, (2 * 5 + 3) * 1.1 + slack)
         self.assertGreaterEqual(served, 3)
@@ -235,7 +235,7 @@
     def test_what_did_not_run_counts_for_nothing(self):
         async def scenario(mesh):
             for name in 'bc':
-                mesh.targets[name].beating = False
+                mesh.targets[name].heartbeats_enabled = False
                 mesh.nodes[name].target.clear()
             refused = await self.flood(mesh, 6)
             await asyncio.sleep(0.1)
--- a/tests/test_outcomes.py
+++ b/tests/test_outcomes.py
@@ -1,10 +1,9 @@
-from random import Random
-
-from testtools import TestCase
 
-from dunlinsaddle.policy.failure_throttle import MIN_ADMITTED_SHARE, FailureThrottle
+from dunlinsaddle.policy.failure_throttle import FailureThrottle, MIN_ADMITTED_SHARE
+from random import Random
 from tests.mesh_case import MeshTest
 from tests.test_deep_load import ALIKE, ALIKE_SLOTS, ALL_SHED, shares
+from testtools import TestCase
 
 
 class OutcomesTest(TestCase):
@@ -73,14 +72,14 @@
         middle, below = mesh.targets['b'], mesh.targets['c']
 
         async def fail(req):
-            return below.signed(req, 500)
+            return below.signed_response(req, 500)
 
         async def call_and_fail(req):
-            await mesh.nodes['b'].entry.handle(type(req)('GET', '/below/x', _inner(req), b'', ''))
-            return middle.signed(req, 502)
+            await mesh.nodes['b'].ingress.handle(type(req)('GET', '/below/x', _inner(req), b'', ''))
+            return middle.signed_response(req, 502)
 
-        below.script = fail
-        middle.script = call_and_fail
+        below.respond = fail
+        middle.respond = call_and_fail
         answers = [await mesh.call('a', '/deep/x') for _ in range(40)]
         statuses = [answer.status for answer in answers]
         told = all(
@@ -91,7 +90,7 @@
     def test_an_entry_refuses_most_of_a_rule_whose_calls_fail(self):
         # The target answers 502, as a call of its own fails further down. Callers are told
         # when to come back in place of an error after the work of three hops.
-        failed, refused, told = self.mesh(self.all_fail, targets=TARGETS, services=SERVICES)
+        failed, refused, told = self.run_mesh(self.all_fail, targets=TARGETS, services=SERVICES)
         self.assertEqual(40, failed + refused)
         self.assertGreater(refused, 10)
         self.assertTrue(told)
@@ -99,7 +98,9 @@
     def test_the_most_valued_are_not_held_back(self):
         # One in five orders is whole while targets shed: refused with the rest, they would be the
         # first to go and not the last.
-        begun, refused, _ = self.mesh(self.all_fail, targets=TARGETS, services=SERVICES, priority=0)
+        begun, refused, _ = self.run_mesh(
+            self.all_fail, targets=TARGETS, services=SERVICES, priority=0
+        )
         self.assertEqual((40, 0), (begun, refused))
 
 
--- a/tests/test_platform_formats.py
+++ b/tests/test_platform_formats.py
@@ -5,7 +5,7 @@
 
 from dunlinsaddle.calls.http import HttpRequest, HttpResponse
 from dunlinsaddle.errors import ErrorKind, Outcome
-from dunlinsaddle.mesh.beats import Farewell, Heartbeat, TargetLog
+from dunlinsaddle.mesh.heartbeats import Deregistration, Heartbeat, HeartbeatTracker
 from dunlinsaddle.platform.heartbeats import read_heartbeat
 from dunlinsaddle.platform.node_file import read_node_file
 from dunlinsaddle.platform.requests import read_answer, read_terms
@@ -32,15 +32,17 @@
         self.assertEqual(Address('10.1.0.8', 8304), found.callers)
         self.assertEqual(Address('10.1.0.8', 8306), found.announce)
         self.assertEqual(Address('10.1.0.8', 7620), found.peers)
-        self.assertEqual((2.0, 6.0, 0.2), (found.bounds.drain, found.bounds.grace, 0.2))
+        self.assertEqual(
+            (2.0, 6.0, 0.2), (found.limits.drain_seconds, found.limits.grace_seconds, 0.2)
+        )
 
     def test_bounds_of_keys_and_quotas_may_be_absent(self):
         bounds = build_node_file()['bounds']
-        without = read_node_file(msgspec.json.encode(build_node_file())).unwrap().bounds
-        self.assertEqual((None, 0.0), (without.revoke, without.quota_slack))
+        without = read_node_file(msgspec.json.encode(build_node_file())).unwrap().limits
+        self.assertEqual((None, 0.0), (without.revocation_seconds, without.quota_slack))
         keyed = {**bounds, 'revokeEverywhere': True, 'revoke': '5000ms', 'quotaSlack': 20}
-        found = read_node_file(msgspec.json.encode(build_node_file(bounds=keyed))).unwrap().bounds
-        self.assertEqual((5.0, 20.0), (found.revoke, found.quota_slack))
+        found = read_node_file(msgspec.json.encode(build_node_file(bounds=keyed))).unwrap().limits
+        self.assertEqual((5.0, 20.0), (found.revocation_seconds, found.quota_slack))
 
     def test_a_file_that_cannot_be_used_is_refused_with_its_reason(self):
         whole = msgspec.json.encode(build_node_file())
@@ -71,8 +73,8 @@
 
     def test_fields_are_decoded(self):
         beat = self.read({**self.GOOD, 'state': 'draining', 'coldRemaining': '1.5s'}).unwrap()
-        self.assertEqual(('i-1', True, 1.5), (beat.target_id, beat.draining, beat.cold_for))
-        self.assertEqual(Farewell('i-1'), self.read(b'', method='DELETE').unwrap())
+        self.assertEqual(('i-1', True, 1.5), (beat.target_id, beat.draining, beat.warmup_seconds))
+        self.assertEqual(Deregistration('i-1'), self.read(b'', method='DELETE').unwrap())
 
     def test_what_cannot_be_read_names_no_target(self):
         wrong = [
@@ -94,20 +96,20 @@
 
 
 class TargetLogTest(TestCase):
-    def beat(self, target_id='i-1', started=1, sequence=1):
-        return Heartbeat(target_id, 's', ('h', 1), 4, False, 0.0, started, sequence)
+    def beat(self, target_id='i-1', started_at_ms=1, sequence=1):
+        return Heartbeat(target_id, 's', ('h', 1), 4, False, 0.0, started_at_ms, sequence)
 
     def test_only_the_newest_of_the_newest_incarnation_counts(self):
-        log = TargetLog()
+        log = HeartbeatTracker()
         taken = [
-            log.take(beat)
+            log.accept(beat)
             for beat in (
                 self.beat(sequence=5),
                 self.beat(sequence=4),
                 self.beat(sequence=6),
-                self.beat('i-2', started=9),
+                self.beat('i-2', started_at_ms=9),
                 self.beat(sequence=7),
-                self.beat('i-2', started=9, sequence=2),
+                self.beat('i-2', started_at_ms=9, sequence=2),
             )
         ]
         self.assertEqual([True, False, True, True, False, True], taken)
@@ -115,11 +117,11 @@
     def test_a_heartbeat_after_the_farewell_of_its_incarnation_is_not_taken(self):
         # The heartbeat was held up and arrives behind the farewell. Taken, it would point
         # requests at a target that is going.
-        log = TargetLog()
-        log.take(self.beat())
-        self.assertTrue(log.leave(Farewell('i-1')))
-        self.assertFalse(log.take(self.beat(sequence=9)))
-        self.assertTrue(log.take(self.beat(started=2)))
+        log = HeartbeatTracker()
+        log.accept(self.beat())
+        self.assertTrue(log.deregister(Deregistration('i-1')))
+        self.assertFalse(log.accept(self.beat(sequence=9)))
+        self.assertTrue(log.accept(self.beat(started_at_ms=2)))
 
 
 class AnswerTest(TestCase):
--- a/tests/test_restored_store.py
+++ b/tests/test_restored_store.py
@@ -13,7 +13,7 @@
     build_record_sync,
     running_follower,
 )
-from tests.mesh_case import SETTLED, MeshTest
+from tests.mesh_case import SETTLE_SECONDS, MeshTest
 from tests.store_case import StoreCase
 
 IN_FORCE = 2.0  #: seconds within which a change has to be in force
@@ -259,13 +259,13 @@
             mesh.store.restore(*copy)
             await mesh.kill('b')
             await mesh.restart('b')
-            await asyncio.sleep(SETTLED)
+            await asyncio.sleep(SETTLE_SECONDS)
             restarted = mesh.nodes['b'].follower.version
             await mesh.configure('r12')
             await asyncio.sleep(IN_FORCE)
             return restarted, {node.follower.version for node in mesh.nodes.values()}
 
-        self.assertEqual((9, {12}), self.mesh(scenario, targets=NAMES))
+        self.assertEqual((9, {12}), self.run_mesh(scenario, targets=NAMES))
 
     def test_a_new_node_finds_the_others_though_the_copy_holds_no_roster(self):
         """It lists itself alone, knows no target, and refuses its callers until a keeper looks."""
@@ -275,11 +275,11 @@
             mesh.store.restore({}, 0)
             await mesh.configure('r7')
             await asyncio.sleep(IN_FORCE)
-            node = await mesh.place('f', 'front', port=2000)
+            node = await mesh.add_node('f', 'front', port=2000)
             await asyncio.sleep(IN_FORCE)
             return len(node.view)
 
-        self.assertEqual(6, self.mesh(scenario, targets=NAMES))
+        self.assertEqual(6, self.run_mesh(scenario, targets=NAMES))
 
     def test_nodes_that_the_store_turns_away_keep_up_through_the_return(self):
         """Their peers' versions are of another epoch than the last that they heard themselves."""
@@ -288,10 +288,10 @@
             copy = dict(mesh.store.objects), mesh.store.revision
             await mesh.configure('r9')
             await asyncio.sleep(1)
-            mesh.cut_off = {'a', 'c'}
+            mesh.nodes_without_store = {'a', 'c'}
             mesh.store.restore(*copy)
             await mesh.configure('r12')
             await asyncio.sleep(IN_FORCE)
             return {node.follower.version for node in mesh.nodes.values()}
 
-        self.assertEqual({12}, self.mesh(scenario, targets=NAMES))
+        self.assertEqual({12}, self.run_mesh(scenario, targets=NAMES))
--- a/tests/test_shared_watch.py
+++ b/tests/test_shared_watch.py
@@ -28,7 +28,7 @@
 class FleetTest(MeshTest):
     def fleet(self, scenario):
         targets = [f'{name}:front:{domain_of(index)}' for index, name in enumerate(NAMES)]
-        return self.mesh(scenario, targets=targets, settled=12)
+        return self.run_mesh(scenario, targets=targets, settle_seconds=12)
 
     async def change(self, mesh: Mesh) -> set[int]:
         """Change the configuration; gives the versions in force when it has to be."""
@@ -67,7 +67,7 @@
             await mesh.configure('r7')
             before = mesh.store.calls
             for index in range(count):
-                await mesh.place(f'n{index:02}', 'front', domain_of(index))
+                await mesh.add_node(f'n{index:02}', 'front', domain_of(index))
             await asyncio.sleep(6)
             versions = {node.follower.version for node in mesh.nodes.values()}
             calls = mesh.store.calls - before
@@ -89,7 +89,9 @@
         # Callers of one domain are served by old routes: the store refuses its three watchers,
         # and serves all others. Word comes from the watchers of the other domains.
         async def scenario(mesh):
-            mesh.cut_off = {name for name in self.watchers(mesh) if _domain(mesh, name) == 'd1'}
+            mesh.nodes_without_store = {
+                name for name in self.watchers(mesh) if _domain(mesh, name) == 'd1'
+            }
             await asyncio.sleep(3)
             return await self.change(mesh)
 
--- a/tests/test_withdrawn_keys.py
+++ b/tests/test_withdrawn_keys.py
@@ -8,14 +8,14 @@
 from dunlinsaddle.access.freshness import USED_SHARE, Freshness
 from dunlinsaddle.routes.proofs import ROUND_SECONDS
 from tests.builders import build_configuration, build_tenant
-from tests.fakes.mesh import BOUNDS
+from tests.fakes.mesh import LIMITS
 from tests.mesh_case import MeshTest
 
 DOMAINS = 3
 NODES = 15
 NAMES = [f'n{i:02}' for i in range(NODES)]
 KEY = 'Bearer key-of-acme'
-REVOKE = BOUNDS.revoke
+REVOKE = LIMITS.revocation_seconds
 BEFORE = [build_tenant('acme'), build_tenant('zeta')]
 AFTER = [build_tenant('acme', 'another-key'), build_tenant('zeta')]
 
@@ -23,7 +23,7 @@
 class FleetTest(MeshTest):
     def fleet(self, scenario):
         targets = [f'{name}:front:d{index % DOMAINS}' for index, name in enumerate(NAMES)]
-        return self.mesh(scenario, targets=targets, settled=12, tenants=BEFORE)
+        return self.run_mesh(scenario, targets=targets, settle_seconds=12, tenants=BEFORE)
 
     async def withdraw(self, mesh):
         held = mesh.store.objects['config', 'main']
@@ -82,7 +82,7 @@
     def test_nodes_that_the_store_turns_away_hear_from_those_it_serves(self):
         # All nodes of one domain are refused by the store, its watchers among them.
         async def scenario(mesh):
-            mesh.cut_off = set(NAMES[1::3])
+            mesh.nodes_without_store = set(NAMES[1::3])
             oldest = await self.ages(mesh, 20)
             await self.withdraw(mesh)
             await asyncio.sleep(REVOKE / 2)
@@ -94,7 +94,7 @@
 
     def test_all_watchers_turned_away_shut_nobody_out(self):
         async def scenario(mesh):
-            mesh.cut_off = self.watchers(mesh)
+            mesh.nodes_without_store = self.watchers(mesh)
             return await self.ages(mesh, 20)
 
         self.assertLess(self.fleet(scenario), USED_SHARE * REVOKE)
@@ -142,7 +142,7 @@
             await mesh.store.put('config', 'main', changed, held.version)
             await asyncio.sleep(2)
             await self.statuses(mesh, NAMES[:3])
-            seen = [req for t in mesh.targets.values() for req in t.seen]
+            seen = [req for t in mesh.targets.values() for req in t.requests]
             return {req.header(b'tenant') for req in seen}
 
         self.assertEqual({'zeta'}, self.fleet(scenario))
