--- a/dunlinsaddle/calls/call_state.py
+++ b/dunlinsaddle/calls/call_state.py
@@ -1,16 +1,24 @@
 """One call inside a node, and the calls that the local target is running."""
+
 import asyncio
 import itertools
 import secrets
 from collections.abc import Callable
+from typing import NamedTuple
+
 from dunlinsaddle.calls.http import MIN_SERVER_ERROR_STATUS
-from dunlinsaddle.calls.messages import Call, Headers, MAX_TIMEOUT_SECONDS, RelayedTargetState, Reply
+from dunlinsaddle.calls.messages import (
+    MAX_TIMEOUT_SECONDS,
+    Call,
+    Headers,
+    RelayedTargetState,
+    Reply,
+)
 from dunlinsaddle.errors import Outcome
 from dunlinsaddle.policy.context import CallContext, Priority
 from dunlinsaddle.policy.retry import RetryAllowance
 from dunlinsaddle.records.models import Rank
 from dunlinsaddle.stats import Stats
-from typing import NamedTuple
 
 #: Tokens are drawn once and counted on: a draw for each call would be a system call more.
 _FIRST = secrets.token_hex(8)
@@ -48,7 +56,9 @@
     attempts: list[Attempt] | None = None  #: sends so far; None where nobody asks
 
 
-def build_call_frame(call: PendingCall, now: float, handed: int, told: RelayedTargetState | None = None) -> Call:
+def build_call_frame(
+    call: PendingCall, now: float, handed: int, told: RelayedTargetState | None = None
+) -> Call:
     """Give the frame that hands a call to another node."""
     ctx = call.ctx
     return Call(
--- a/dunlinsaddle/calls/crash_notifier.py
+++ b/dunlinsaddle/calls/crash_notifier.py
@@ -1,7 +1,9 @@
 """Word between nodes of requests that targets died of."""
+
 import asyncio
 import logging
 from collections.abc import Callable, Iterable
+
 from dunlinsaddle.calls.link import PeerLinks
 from dunlinsaddle.calls.messages import TargetDeaths
 from dunlinsaddle.loops import OnLoop
--- a/dunlinsaddle/calls/decisions.py
+++ b/dunlinsaddle/calls/decisions.py
@@ -4,8 +4,11 @@
 allows for all that a node can reasonably produce, while routine decisions are only sampled. The
 line of a failed request lists all its attempts, even if earlier lines about it were omitted.
 """
+
 import logging
 from collections import Counter
+from enum import StrEnum
+
 from dunlinsaddle.calls.call_state import PendingCall
 from dunlinsaddle.calls.http import MIN_SERVER_ERROR_STATUS
 from dunlinsaddle.calls.messages import Reply
@@ -14,7 +17,6 @@
 from dunlinsaddle.loops import OnLoop
 from dunlinsaddle.policy.admission import Load
 from dunlinsaddle.policy.context import CallContext
-from enum import StrEnum
 
 
 class Event(StrEnum):
--- a/dunlinsaddle/calls/handover.py
+++ b/dunlinsaddle/calls/handover.py
@@ -3,8 +3,13 @@
 A caller that resends after a graceful restart gets the stored answer, in place of "unknown" for
 ever. The next owner only remembers: it never runs a key of an interval that is not its own.
 """
+
 import asyncio
 import logging
+from typing import NamedTuple
+
+from result import Ok
+
 from dunlinsaddle.calls.link import PeerLinks
 from dunlinsaddle.calls.messages import FinishedKey, KeysPush, Reply
 from dunlinsaddle.membership.view import Member, MemberView
@@ -13,8 +18,6 @@
 from dunlinsaddle.policy.key_table import KeyRecord, KeyTable
 from dunlinsaddle.policy.keys import TimestampedKey, parse_key
 from dunlinsaddle.policy.ownership import Owner
-from result import Ok
-from typing import NamedTuple
 
 MAX_MESSAGE_BYTES = 1 << 18  #: of one message: a quarter of a second on a link of ten megabits
 KEY_OVERHEAD_BYTES = 256  #: more than a key takes without its answer
--- a/dunlinsaddle/calls/member_calls.py
+++ b/dunlinsaddle/calls/member_calls.py
@@ -1,6 +1,8 @@
 """Calls to a given member, with the outcome reported to the router."""
+
 import asyncio
 from collections.abc import Iterable
+
 from dunlinsaddle.calls.call_state import PendingCall, build_call_frame
 from dunlinsaddle.calls.link import PeerLinks
 from dunlinsaddle.calls.messages import Lost, NotSent, Reply
@@ -21,7 +23,12 @@
         self.links = links
 
     async def call(
-        self, work: PendingCall, member: Member, *, owner_lookups: int = 0, owner_approved: bool = False
+        self,
+        work: PendingCall,
+        member: Member,
+        *,
+        owner_lookups: int = 0,
+        owner_approved: bool = False,
     ) -> Reply | NotSent | Lost:
         """Send a call; for the two options see the fields of ``Call``."""
         loop = asyncio.get_running_loop()
--- a/dunlinsaddle/calls/owned_keys.py
+++ b/dunlinsaddle/calls/owned_keys.py
@@ -1,7 +1,10 @@
 """The owner's side of at-most-once: remembers keys, and runs each of them one time."""
+
 import asyncio
-import msgspec
 from collections.abc import Callable
+
+import msgspec
+
 from dunlinsaddle.calls.call_state import PendingCall
 from dunlinsaddle.calls.execute import Executor
 from dunlinsaddle.calls.member_calls import MemberCaller, to_candidates
--- a/dunlinsaddle/calls/target.py
+++ b/dunlinsaddle/calls/target.py
@@ -1,11 +1,13 @@
 """The target beside a node: its state, and the dialect in which the node talks to it."""
+
 from collections.abc import Callable
+from typing import NamedTuple, Protocol
+
 from dunlinsaddle.calls.call_state import PendingCall, RunningCall
 from dunlinsaddle.calls.http import HttpResponse, forwarded_headers
 from dunlinsaddle.calls.messages import Headers, Reply
 from dunlinsaddle.errors import Outcome
 from dunlinsaddle.settings import Address
-from typing import NamedTuple, Protocol
 
 
 class AdvertisedState(NamedTuple):
--- a/dunlinsaddle/mesh/heartbeat_endpoint.py
+++ b/dunlinsaddle/mesh/heartbeat_endpoint.py
@@ -1,15 +1,18 @@
 """The face on which the target beside the node says that it lives, drains and goes."""
+
 import asyncio
 import logging
 import math
 from collections.abc import Callable
+
+from result import Err, Ok
+
 from dunlinsaddle.calls.http import HttpRequest, HttpResponse
 from dunlinsaddle.calls.target import LocalTarget
 from dunlinsaddle.mesh.heartbeats import Deregistration, Heartbeat, HeartbeatTracker
 from dunlinsaddle.platform.heartbeats import acknowledgement, read_heartbeat, rejection
 from dunlinsaddle.policy.slots import SlotAdmission
 from dunlinsaddle.settings import Address
-from result import Err, Ok
 
 
 class HeartbeatEndpoint:
@@ -66,7 +69,9 @@
         )
         if new:
             self.logger.info('target announced', extra=_named(beat))
-            self.target.start_incarnation(beat.service, self.address, beat.target_id, beat.started_at_ms)
+            self.target.start_incarnation(
+                beat.service, self.address, beat.target_id, beat.started_at_ms
+            )
         if beat.draining and not self.target.draining:
             self.logger.info('target drains', extra=_named(beat))
             self.target.drain()
--- a/dunlinsaddle/mesh/level_gossip.py
+++ b/dunlinsaddle/mesh/level_gossip.py
@@ -1,9 +1,11 @@
 """Tells other nodes the level that the target beside this one admits, while it refuses some."""
+
 import asyncio
+
 from dunlinsaddle.loops import OnLoop
 from dunlinsaddle.membership.agent import GossipAgent
 from dunlinsaddle.policy.context import LOWEST_LEVEL
-from dunlinsaddle.policy.level import ChainLevels, ReportedLevel, STALE_AFTER_SECONDS
+from dunlinsaddle.policy.level import STALE_AFTER_SECONDS, ChainLevels, ReportedLevel
 from dunlinsaddle.policy.slots import SlotAdmission
 
 #: Seconds between two rounds, half of the time after which a learned level counts as stale: an
--- a/dunlinsaddle/mesh/metrics.py
+++ b/dunlinsaddle/mesh/metrics.py
@@ -3,9 +3,15 @@
 Histograms are plain counts with the label ``le``, observed when somebody asks: recording each
 call with an instrument took 17 us, a tenth of what a node spends on it.
 """
+
 import asyncio
 import math
 from collections import Counter
+from typing import Protocol
+
+from opentelemetry.exporter.prometheus import PrometheusMetricReader
+from prometheus_client import CollectorRegistry, generate_latest
+
 from dunlinsaddle.access.freshness import Freshness
 from dunlinsaddle.access.quotas import Quotas
 from dunlinsaddle.calls.http import HttpRequest, HttpResponse, failure_response
@@ -22,9 +28,6 @@
 from dunlinsaddle.policy.slots import SlotAdmission
 from dunlinsaddle.routes.follow import ConfigFollower
 from dunlinsaddle.stats import LATENCY_BOUNDS, Stats
-from opentelemetry.exporter.prometheus import PrometheusMetricReader
-from prometheus_client import CollectorRegistry, generate_latest
-from typing import Protocol
 
 MAX_AGE_SECONDS = 86_400.0  #: seconds; a gauge takes no infinite age
 MAX_REPORTED_ORGANISATIONS = (
--- a/dunlinsaddle/mesh/node.py
+++ b/dunlinsaddle/mesh/node.py
@@ -1,8 +1,13 @@
 """One node on the platform: wires its parts together and runs their loops."""
+
 import asyncio
 import contextlib
 import logging
 from collections.abc import Callable, Coroutine
+from functools import partial
+from random import Random
+from typing import TYPE_CHECKING, Any, NamedTuple
+
 from dunlinsaddle.access.freshness import Freshness
 from dunlinsaddle.access.gate import Gate
 from dunlinsaddle.access.peers import GossipPeers
@@ -48,9 +53,6 @@
 from dunlinsaddle.routes.proofs import ProofAsker
 from dunlinsaddle.settings import Address
 from dunlinsaddle.stats import CallLabel, Hop, Stats
-from functools import partial
-from random import Random
-from typing import Any, NamedTuple, TYPE_CHECKING
 
 if TYPE_CHECKING:
     from dunlinsaddle.mesh.metrics import MeshMetrics
--- a/dunlinsaddle/mesh/retries.py
+++ b/dunlinsaddle/mesh/retries.py
@@ -1,4 +1,5 @@
 """Which requests go to a further target, and the budget that pays for it."""
+
 from dunlinsaddle.calls.call_state import PendingCall
 from dunlinsaddle.calls.messages import Reply
 from dunlinsaddle.errors import ErrorKind, Outcome
--- a/dunlinsaddle/mesh/target_protocol.py
+++ b/dunlinsaddle/mesh/target_protocol.py
@@ -1,4 +1,5 @@
 """Speaks to the local target as the platform's targets expect it."""
+
 from dunlinsaddle.calls.call_state import PendingCall, RunningCall
 from dunlinsaddle.calls.http import HttpResponse
 from dunlinsaddle.calls.messages import Headers, Reply
--- a/dunlinsaddle/node.py
+++ b/dunlinsaddle/node.py
@@ -1,8 +1,13 @@
 """One node: wires the rooms together and runs their loops."""
+
 import asyncio
 import contextlib
 import logging
 import secrets
+from functools import partial
+from random import Random
+from typing import Any
+
 from dunlinsaddle.admin import OperatorsFace
 from dunlinsaddle.calls.call_state import RunningCalls, read_call_frame, record_added_latency
 from dunlinsaddle.calls.client import HttpClient
@@ -41,9 +46,6 @@
 from dunlinsaddle.records.sync import RecordSync
 from dunlinsaddle.settings import Settings
 from dunlinsaddle.stats import Stats
-from functools import partial
-from random import Random
-from typing import Any
 
 KEY_WINDOW = 900.0  #: seconds for which keys are remembered where no record says so
 WATCH_SECONDS = 0.25  #: seconds between two looks at the target; an announcement comes each second
--- a/dunlinsaddle/policy/naive.py
+++ b/dunlinsaddle/policy/naive.py
@@ -1,7 +1,18 @@
 """The naive policy, a baseline for comparisons: a fixed concurrency limit and a FIFO queue."""
+
 from collections import deque
+
 from dunlinsaddle.errors import ErrorKind, Failure
-from dunlinsaddle.policy.admission import AdmissionDecision, Dequeued, Load, Refuse, Run, Sample, Ticket, Wait
+from dunlinsaddle.policy.admission import (
+    AdmissionDecision,
+    Dequeued,
+    Load,
+    Refuse,
+    Run,
+    Sample,
+    Ticket,
+    Wait,
+)
 
 RETRIES_PER_HOP = 3  #: the default of clients in common frameworks
 
--- a/dunlinsaddle/policy/quota.py
+++ b/dunlinsaddle/policy/quota.py
@@ -1,8 +1,11 @@
 """Token buckets for quotas of organisations, and the choice of the nodes that lend from them."""
-import xxhash
+
 from bisect import bisect_right
 from collections.abc import Iterable
 from dataclasses import dataclass
+
+import xxhash
+
 from dunlinsaddle.policy.sliding_count import SlidingCount
 from dunlinsaddle.routes.models import Quota
 
--- a/dunlinsaddle/policy/retry_budget.py
+++ b/dunlinsaddle/policy/retry_budget.py
@@ -1,8 +1,10 @@
 """Budget of a node for retries to each service, its part of a budget that all nodes share."""
+
+from math import exp
+
 from dunlinsaddle.policy.context import LOWEST_LEVEL, SLOTS_PER_RANK
 from dunlinsaddle.policy.sliding_count import SlidingCount
 from dunlinsaddle.records.models import Rank
-from math import exp
 
 WINDOW_SLOTS = 10  #: parts of the window; more parts would count more exactly but cost more
 #: Share of the budget that is spent. The rest covers what a node cannot know: the other nodes
--- a/dunlinsaddle/replay/current_node.py
+++ b/dunlinsaddle/replay/current_node.py
@@ -1,4 +1,5 @@
 """The fake node that decides by the policy of the product."""
+
 from dunlinsaddle.errors import ErrorKind, Failure
 from dunlinsaddle.policy.admission import AdmissionPolicy, Load
 from dunlinsaddle.policy.callers import ResendGuard
@@ -6,10 +7,10 @@
 from dunlinsaddle.policy.quarantine import DEATHS_TO_QUARANTINE, Quarantine, Quarantined
 from dunlinsaddle.policy.retry import RetryAllowance, may_resend
 from dunlinsaddle.policy.route import Candidate, Router
-from dunlinsaddle.replay.attempt import Answer, Attempt, ENTRY, Parent, refused
+from dunlinsaddle.replay.attempt import ENTRY, Answer, Attempt, Parent, refused
 from dunlinsaddle.replay.events import Process
 from dunlinsaddle.replay.fakes import FakeTarget
-from dunlinsaddle.replay.nodes import FakeNode, Fleet, VIEW_LAG
+from dunlinsaddle.replay.nodes import VIEW_LAG, FakeNode, Fleet
 from dunlinsaddle.replay.trace import Call
 
 
--- a/dunlinsaddle/replay/nodes.py
+++ b/dunlinsaddle/replay/nodes.py
@@ -1,15 +1,25 @@
 """Small fakes of nodes: the real decisions, with latencies in place of connections."""
+
 from collections.abc import Callable
+from typing import NamedTuple
+
 from dunlinsaddle.errors import ErrorKind, Failure
-from dunlinsaddle.policy.admission import Admission, AdmissionPolicy, Load, Refuse, Sample, Ticket, Wait
+from dunlinsaddle.policy.admission import (
+    Admission,
+    AdmissionPolicy,
+    Load,
+    Refuse,
+    Sample,
+    Ticket,
+    Wait,
+)
 from dunlinsaddle.policy.retry import RetryAllowance
 from dunlinsaddle.policy.route import Candidate, Router
 from dunlinsaddle.records.models import ServiceRecord
-from dunlinsaddle.replay.attempt import Answer, Attempt, ENTRY, Parent, refused
+from dunlinsaddle.replay.attempt import ENTRY, Answer, Attempt, Parent, refused
 from dunlinsaddle.replay.events import EventLoop, Process, Waiter
 from dunlinsaddle.replay.fakes import FakeTarget, Network
 from dunlinsaddle.replay.trace import Call
-from typing import NamedTuple
 
 SILENCE_TIMEOUT_SECONDS = 1.0  #: seconds until a silent connection is dropped
 VIEW_LAG = 0.5  #: seconds until all nodes have heard that a target has gone or come
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -1,9 +1,9 @@
-
 import asyncio
 import io
 import json
 import os
-from dunlinsaddle.calls.decisions import Event, MAX_LINES_PER_SECOND
+
+from dunlinsaddle.calls.decisions import MAX_LINES_PER_SECOND, Event
 from dunlinsaddle.logs import LINES_HELD, PatientOutput, start_logs
 from tests.clock import PausedClockTest
 from tests.fakes.mesh import Mesh
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -1,7 +1,9 @@
 """A target that says with its answers that it leaves, while its heartbeats still say ready."""
+
 import asyncio
+
 from tests.fakes.mesh import LIMITS
-from tests.fakes.mesh_load import Callers, ENTRIES, TARGETS
+from tests.fakes.mesh_load import ENTRIES, TARGETS, Callers
 from tests.mesh_case import MeshTest
 
 LEAVING = [(b'server-leaving', b'1')]
--- a/tests/test_level_gossip.py
+++ b/tests/test_level_gossip.py
@@ -1,15 +1,18 @@
 """Entries that get few requests know which of them a service further down would refuse."""
+
 import asyncio
 import math
+from random import Random
+
+from testtools import TestCase
+
 from dunlinsaddle.membership.messages import Level, Sealer
 from dunlinsaddle.mesh.level_gossip import GOSSIP_INTERVAL_SECONDS
 from dunlinsaddle.policy.context import LOWEST_LEVEL
 from dunlinsaddle.policy.level import ChainLevels, ReportedLevel
-from random import Random
 from tests.builders import build_member
 from tests.fakes.network import Machines
 from tests.mesh_case import MeshTest
-from testtools import TestCase
 
 ADMITTED = 320.0  #: half of the lowest rank
 WORDS_A_ROUND = 2  #: that an entry hears
--- a/tests/test_mesh_failures.py
+++ b/tests/test_mesh_failures.py
@@ -1,5 +1,7 @@
 """Targets and nodes that fail, as callers of whole nodes see it."""
+
 import asyncio
+
 from dunlinsaddle.calls.http import HttpLimits, HttpResponse
 from dunlinsaddle.calls.listener import HttpListener
 from tests.mesh_case import MeshTest
--- a/tests/test_named_rate.py
+++ b/tests/test_named_rate.py
@@ -1,5 +1,7 @@
 """A target that names in its answers how many requests a second it takes."""
+
 import asyncio
+
 from dunlinsaddle.calls.decisions import DecisionLog
 from dunlinsaddle.calls.messages import RelayedTargetState
 from dunlinsaddle.calls.target import AdvertisedState, LocalTarget
@@ -9,7 +11,7 @@
 from standins.soak_says import allowed
 from tests.builders import build_logger
 from tests.clock import PausedClockTest
-from tests.fakes.mesh_load import Callers, ENTRIES, TARGETS
+from tests.fakes.mesh_load import ENTRIES, TARGETS, Callers
 from tests.mesh_case import MeshTest
 
 
--- a/tests/test_organisations.py
+++ b/tests/test_organisations.py
@@ -1,6 +1,10 @@
 """Who may call: keys of organisations, and calls of targets, which carry none."""
+
 import asyncio
 import json
+
+from testtools import TestCase
+
 from dunlinsaddle.calls.connection import Answered
 from dunlinsaddle.calls.http import HttpRequest
 from dunlinsaddle.platform.configuration import read_configuration
@@ -8,7 +12,6 @@
 from tests.builders import build_configuration, build_route, build_tenant
 from tests.fakes.mesh import LIMITS
 from tests.mesh_case import MeshTest
-from testtools import TestCase
 
 SECRET = 'ruddedev3nax7u27gxpr'
 TENANTS = [build_tenant('acme', SECRET, priority=1), build_tenant('zeta', 'zeta-key')]
