--- a/dunlinsaddle/mesh/__init__.py
+++ b/dunlinsaddle/mesh/__init__.py
@@ -1,1 +1,1 @@
-"""The node on the users' platform: routed requests, announced slots, shared retry budget."""
+"""The node on the users' platform: request routing, slot admission and retry budget."""
--- a/dunlinsaddle/mesh/daemon.py
+++ b/dunlinsaddle/mesh/daemon.py
@@ -1,7 +1,7 @@
-"""Runs one node of the platform as a process, from the settings file that it is given.
+"""Runs one node of the platform as a process, configured by a settings file.
 
-The loop is that of ``uvloop``: a call through two nodes took 0.35 ms of processor time with it
-and 0.46 ms with asyncio's own, all four ends of HTTP included.
+The process uses the event loop of ``uvloop``: a call through two nodes took 0.35 ms of processor
+time with it and 0.46 ms with asyncio's own, including all four HTTP endpoints.
 """
 
 import asyncio
@@ -21,9 +21,8 @@
 from dunlinsaddle.settings import SettingError
 from dunlinsaddle.status import ExitStatus
 
-SETTINGS_POLL_SECONDS = (
-    1.0  #: between two looks at the settings file; half of what a change may take
-)
+#: Interval of the checks for a changed settings file. A change must apply within twice that time.
+SETTINGS_POLL_SECONDS = 1.0
 
 
 def load_settings(path: str) -> Result[MeshSettings, SettingError]:
@@ -35,7 +34,7 @@
 
 
 def run(env: Environment, path: str, *, check: bool = False) -> ExitStatus:
-    """Run a node until it is told to stop; with ``check`` only look at its settings."""
+    """Run a node until it is stopped; with ``check`` only validate its settings."""
     match load_settings(path):
         case Err(error):
             env.report(str(error))
@@ -51,7 +50,7 @@
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
             return runner.run(_serve(MeshNode(settings, env, logger), path))
     except OSError as exc:
-        env.report(f'cannot listen: {exc}; give another address or stop what uses it')
+        env.report(f'cannot listen: {exc}; change the address or stop the process that uses it')
         return ExitStatus.ERROR
 
 
@@ -61,13 +60,13 @@
     loop.add_signal_handler(signal.SIGTERM, stop.set)
     loop.add_signal_handler(signal.SIGINT, stop.set)
     loop.add_signal_handler(signal.SIGHUP, reload_settings, node, path)
-    faces = await node.start()
-    addresses = {name: str(address) for name, address in faces._asdict().items()}
+    addresses = await node.start()
+    addresses_by_name = {name: str(address) for name, address in addresses._asdict().items()}
     spare_collector()
-    node.logger.info('listening', extra={'faces': addresses})
-    watching = loop.create_task(_watch_file(node, path))
+    node.logger.info('listening', extra={'faces': addresses_by_name})
+    watcher = loop.create_task(_watch_file(node, path))
     await stop.wait()
-    watching.cancel()
+    watcher.cancel()
     node.logger.info('draining')
     await node.drain()
     await node.stop()
@@ -76,29 +75,29 @@
 
 
 async def _watch_file(node: MeshNode, path: str) -> None:
-    """Take up a changed file that no signal told of."""
-    seen = _changed_at(path)
+    """Reload the settings file when its modification time changes."""
+    loaded = _modified_at(path)
     while True:
         await asyncio.sleep(SETTINGS_POLL_SECONDS)
-        now = _changed_at(path)
-        if now != seen:
-            seen = now
+        current = _modified_at(path)
+        if current != loaded:
+            loaded = current
             reload_settings(node, path)
 
 
-def _changed_at(path: str) -> int:
+def _modified_at(path: str) -> int:
     try:
         return os.stat(path).st_mtime_ns
     except OSError:
-        # It is being replaced: the next look sees the new one.
+        # The file is being replaced; the next check sees the new one.
         return 0
 
 
 def reload_settings(node: MeshNode, path: str) -> None:
-    """Take up a changed settings file; one that cannot be used changes nothing."""
+    """Apply the limits of a changed settings file; ignore a file that is invalid."""
     match load_settings(path):
         case Err(error):
-            # The settings in force stay: a file that is being written is cut short for a moment.
+            # Keep the current settings: a file that is being written is incomplete for a moment.
             node.logger.error('settings unusable', extra={'why': str(error)})
         case Ok(settings):
             node.update_limits(settings.limits)
--- a/dunlinsaddle/mesh/heartbeat_endpoint.py
+++ b/dunlinsaddle/mesh/heartbeat_endpoint.py
@@ -1,22 +1,19 @@
-"""The face on which the target beside the node says that it lives, drains and goes."""
-
+"""HTTP endpoint for the heartbeats of the local target."""
 import asyncio
 import logging
 import math
 from collections.abc import Callable
-
-from result import Err, Ok
-
 from dunlinsaddle.calls.http import HttpRequest, HttpResponse
 from dunlinsaddle.calls.target import LocalTarget
 from dunlinsaddle.mesh.heartbeats import Deregistration, Heartbeat, HeartbeatTracker
 from dunlinsaddle.platform.heartbeats import acknowledgement, read_heartbeat, rejection
 from dunlinsaddle.policy.slots import SlotAdmission
 from dunlinsaddle.settings import Address
+from result import Err, Ok
 
 
 class HeartbeatEndpoint:
-    """Takes heartbeats of the one target that the settings name."""
+    """Accepts heartbeats from the target named in the settings and updates its state."""
 
     def __init__(
         self,
@@ -34,55 +31,55 @@
         self.on_change = on_change
         self.logger = logger
         self.tracker = HeartbeatTracker()
-        self.last_heartbeat_at = -math.inf  #: time of the loop of the latest heartbeat that counts
+        self.last_heartbeat_at = -math.inf  #: loop time of the latest accepted heartbeat
 
     async def handle(self, req: HttpRequest) -> HttpResponse:
-        """Answer one heartbeat or farewell."""
+        """Process one heartbeat or deregistration."""
         match read_heartbeat(req):
             case Err(why):
                 self.logger.warning('heartbeat unusable', extra={'why': why})
                 return rejection(why)
-            case Ok(Deregistration() as farewell):
-                self._farewell(farewell)
-            case Ok(Heartbeat() as beat):
-                if (beat.service, beat.address) != (self.service, self.address):
-                    self.logger.warning('heartbeat of another target', extra=_named(beat))
-                    return rejection('not the target beside this node')
-                self._heartbeat(beat)
+            case Ok(Deregistration() as deregistration):
+                self._process_deregistration(deregistration)
+            case Ok(Heartbeat() as heartbeat):
+                if (heartbeat.service, heartbeat.address) != (self.service, self.address):
+                    self.logger.warning('heartbeat of another target', extra=_log_fields(heartbeat))
+                    return rejection('service or address differs from the local target')
+                self._process_heartbeat(heartbeat)
         return acknowledgement()
 
-    def _farewell(self, farewell: Deregistration) -> None:
-        if self.tracker.deregister(farewell):
-            self.logger.info('target left', extra={'target': farewell.target_id})
+    def _process_deregistration(self, deregistration: Deregistration) -> None:
+        if self.tracker.deregister(deregistration):
+            self.logger.info('target left', extra={'target': deregistration.target_id})
             self.target.clear()
             self.on_change()
 
-    def _heartbeat(self, beat: Heartbeat) -> None:
-        held = self.tracker.current
-        if not self.tracker.accept(beat):
+    def _process_heartbeat(self, heartbeat: Heartbeat) -> None:
+        previous = self.tracker.current
+        if not self.tracker.accept(heartbeat):
             return
         self.last_heartbeat_at = asyncio.get_running_loop().time()
-        self.admission.set_slots(beat.slots)
-        new = held is None or (held.target_id, held.started_at_ms) != (
-            beat.target_id,
-            beat.started_at_ms,
+        self.admission.set_slots(heartbeat.slots)
+        is_new = previous is None or (previous.target_id, previous.started_at_ms) != (
+            heartbeat.target_id,
+            heartbeat.started_at_ms,
         )
-        if new:
-            self.logger.info('target announced', extra=_named(beat))
+        if is_new:
+            self.logger.info('target announced', extra=_log_fields(heartbeat))
             self.target.start_incarnation(
-                beat.service, self.address, beat.target_id, beat.started_at_ms
+                heartbeat.service, self.address, heartbeat.target_id, heartbeat.started_at_ms
             )
-        if beat.draining and not self.target.draining:
-            self.logger.info('target drains', extra=_named(beat))
+        if heartbeat.draining and not self.target.draining:
+            self.logger.info('target drains', extra=_log_fields(heartbeat))
             self.target.drain()
         self.on_change()
 
 
-def _named(beat: Heartbeat) -> dict[str, object]:
+def _log_fields(heartbeat: Heartbeat) -> dict[str, object]:
     return {
-        'target': beat.target_id,
-        'started': beat.started_at_ms,
-        'sequence': beat.sequence,
-        'slots': beat.slots,
-        'draining': beat.draining,
+        'target': heartbeat.target_id,
+        'started': heartbeat.started_at_ms,
+        'sequence': heartbeat.sequence,
+        'slots': heartbeat.slots,
+        'draining': heartbeat.draining,
     }
--- a/dunlinsaddle/mesh/heartbeats.py
+++ b/dunlinsaddle/mesh/heartbeats.py
@@ -1,66 +1,69 @@
-"""What the target beside a node says of itself, and which incarnation of it holds."""
+"""Heartbeat messages of the local target, and the check that rejects stale ones."""
 
 from typing import NamedTuple
 
 
 class Heartbeat(NamedTuple):
-    """One sign of life of a target."""
+    """A periodic report in which a target announces itself and its state."""
 
     target_id: str
     service: str
     address: tuple[str, int]
     slots: int
     draining: bool
-    warmup_seconds: float  #: seconds for which it stays slow after its start
-    started_at_ms: int  #: Unix milliseconds, 0 if it does not say
-    sequence: int  #: grows with each heartbeat of one incarnation
+    warmup_seconds: float  #: for how long the target is still slow after its start
+    started_at_ms: int  #: Unix milliseconds, 0 if the target does not report its start time
+    sequence: int  #: increases with each heartbeat of one incarnation
 
 
 class Deregistration(NamedTuple):
-    """The target says that it goes."""
+    """A report in which a target announces that it terminates."""
 
     target_id: str
 
 
 class HeartbeatTracker:
-    """Decides which heartbeats count: late ones and those of older incarnations do not.
+    """Tracks the current incarnation and rejects stale heartbeats.
 
-    A heartbeat held up by a cut may arrive after its sender has crashed and the next
-    incarnation has announced itself at the same address. Taken as new, it would point
-    requests at an incarnation that is gone.
+    A network partition can delay a heartbeat until its sender has crashed and the next
+    incarnation has announced itself at the same address. If the delayed heartbeat were
+    accepted, requests would be sent to an incarnation that no longer exists.
     """
 
     def __init__(self) -> None:
         self.current: Heartbeat | None = None
-        self._left: dict[str, int] = {}  #: start of each incarnation that has said farewell
+        self._deregistered: dict[str, int] = {}  #: start time of each deregistered incarnation
 
-    def accept(self, beat: Heartbeat) -> bool:
-        """Take a heartbeat; say whether it is news on the present incarnation."""
-        if self._has_left(beat):
+    def accept(self, heartbeat: Heartbeat) -> bool:
+        """Record a heartbeat; return False if it is stale and was ignored."""
+        if self._is_deregistered(heartbeat):
             return False
-        held = self.current
-        if held is not None and not _newer(beat, held):
+        current = self.current
+        if current is not None and not _is_newer(heartbeat, current):
             return False
-        self.current = beat
+        self.current = heartbeat
         return True
 
-    def deregister(self, farewell: Deregistration) -> bool:
-        """Take a farewell; say whether it is that of the present incarnation."""
-        held = self.current
-        if held is None or held.target_id != farewell.target_id:
-            self._left.setdefault(farewell.target_id, 0)
+    def deregister(self, deregistration: Deregistration) -> bool:
+        """Record a deregistration; return whether it is from the current incarnation."""
+        current = self.current
+        if current is None or current.target_id != deregistration.target_id:
+            self._deregistered.setdefault(deregistration.target_id, 0)
             return False
-        self._left[held.target_id] = held.started_at_ms
+        self._deregistered[current.target_id] = current.started_at_ms
         self.current = None
         return True
 
-    def _has_left(self, beat: Heartbeat) -> bool:
-        left = self._left.get(beat.target_id)
-        return left is not None and beat.started_at_ms <= left
+    def _is_deregistered(self, heartbeat: Heartbeat) -> bool:
+        started_at_ms = self._deregistered.get(heartbeat.target_id)
+        return started_at_ms is not None and heartbeat.started_at_ms <= started_at_ms
 
 
-def _newer(beat: Heartbeat, held: Heartbeat) -> bool:
-    if beat.target_id == held.target_id:
-        return (beat.started_at_ms, beat.sequence) > (held.started_at_ms, held.sequence)
-    # Two incarnations that do not say when they started: the one heard later is the newer.
-    return beat.started_at_ms >= held.started_at_ms
+def _is_newer(heartbeat: Heartbeat, current: Heartbeat) -> bool:
+    if heartbeat.target_id == current.target_id:
+        return (heartbeat.started_at_ms, heartbeat.sequence) > (
+            current.started_at_ms,
+            current.sequence,
+        )
+    # If neither incarnation reports its start time, the one received later is the newer.
+    return heartbeat.started_at_ms >= current.started_at_ms
--- a/dunlinsaddle/mesh/ingress.py
+++ b/dunlinsaddle/mesh/ingress.py
@@ -1,32 +1,22 @@
-"""The face for callers and for the target's own calls: routes a request and answers it."""
-
+"""Handler for requests of callers and for the local target's own calls to other services."""
 import asyncio
 import math
-from collections.abc import Callable
-from random import Random
-
 import uuid6
-from result import Err, Ok
-
+from collections.abc import Callable
 from dunlinsaddle.access.gate import Gate, Holder, rank_of
 from dunlinsaddle.access.quotas import Quotas
 from dunlinsaddle.calls.call_state import PendingCall, RunningCall, RunningCalls, WaitTime
 from dunlinsaddle.calls.decisions import DecisionLog
 from dunlinsaddle.calls.dispatch import Dispatcher
 from dunlinsaddle.calls.handlers import request_fingerprint
-from dunlinsaddle.calls.http import MIN_SERVER_ERROR_STATUS, HttpRequest, HttpResponse
+from dunlinsaddle.calls.http import HttpRequest, HttpResponse, MIN_SERVER_ERROR_STATUS
 from dunlinsaddle.calls.messages import Reply, refusal
 from dunlinsaddle.errors import ErrorKind, Failure, Outcome
 from dunlinsaddle.loops import OnLoop
 from dunlinsaddle.mesh.retries import AttemptAllowance
-from dunlinsaddle.platform.requests import (
-    CallerTerms,
-    caller_response,
-    read_terms,
-    travelling_headers,
-)
+from dunlinsaddle.platform.requests import CallerTerms, caller_response, read_terms, travelling_headers
 from dunlinsaddle.policy.admission import Load
-from dunlinsaddle.policy.context import MAX_HOPS, CallContext, priority_of
+from dunlinsaddle.policy.context import CallContext, MAX_HOPS, priority_of
 from dunlinsaddle.policy.failure_throttle import FailureThrottle
 from dunlinsaddle.policy.request_costs import RequestCosts
 from dunlinsaddle.policy.retry_budget import RetryBudget
@@ -34,16 +24,22 @@
 from dunlinsaddle.routes.follow import ConfigFollower
 from dunlinsaddle.routes.models import Route
 from dunlinsaddle.routes.table import choose_service
+from random import Random
+from result import Err, Ok
 
-DEFAULT_TIMEOUT_SECONDS = 10.0  #: seconds for a caller that names no time of its own
-#: Seconds after which a request comes again that failed for a call without a time of its own: an
-#: objective of the calls' services, within which their queues are served.
+DEFAULT_TIMEOUT_SECONDS = 10.0  #: for requests without a deadline header
+#: Shortest Retry-After of a request that failed because of a call of its target. It is the latency
+#: objective of the called services, within which they work off their queues.
 MIN_RETRY_AFTER_SECONDS = 0.3
-NO_CONFIGURATION_RETRY_SECONDS = 0.5  #: seconds; a fresh node mostly has one within a second
+#: Retry-After while the node has no configuration; a new node usually gets one within a second.
+NO_CONFIGURATION_RETRY_SECONDS = 0.5
 
 
 class IngressHandler(OnLoop):
-    """Any node is an entry: it finds the route, sets the terms, and sends the request on."""
+    """Finds the route of a request, sets its deadline and priority, and dispatches it.
+
+    Any node can be the ingress of a request.
+    """
 
     def __init__(
         self,
@@ -72,85 +68,92 @@
         self.outcomes = FailureThrottle()
 
     async def handle(self, req: HttpRequest) -> HttpResponse:
-        """Answer one request."""
+        """Route one request and return its response."""
         terms = read_terms(req)
         settled = await self.gate.settle(terms)
         table = self.follower.table
         if table is None:
-            return _refused(terms, ErrorKind.NO_CONFIGURATION, NO_CONFIGURATION_RETRY_SECONDS)
+            return _refusal_response(
+                terms, ErrorKind.NO_CONFIGURATION, NO_CONFIGURATION_RETRY_SECONDS
+            )
         route = table.find(req.header(b'host'), req.path)
         version = table.configuration.version
         if route is None:
             host = req.header(b'host')
             self.decisions.log_unrouted(terms.request_id, host, req.path, version)
-            return _refused(terms, ErrorKind.NO_ROUTE)
+            return _refusal_response(terms, ErrorKind.NO_ROUTE)
         loop = self.loop
-        began = loop.time()
+        started_at = loop.time()
         parent = self.running.find_parent(terms.request_id)
         match self.gate.holder_of(terms, table, route, parent, settled=settled):
             case Err(failure):
-                self._note_denied(terms.request_id, route.name, failure)
-                return _answer_refused(terms, failure)
+                self._log_denied(terms.request_id, route.name, failure)
+                return _failure_response(terms, failure)
             case Ok(holder):
-                keyed = table.wants_keys
-                work = self._work(req, terms, route, parent, holder, keyed=keyed)
-        if work.ctx.is_resend:
-            self.budget.record_repeat(began, work.ctx.service)
+                requires_key = table.wants_keys
+                call = self._build_call(
+                    req, terms, route, parent, holder, requires_key=requires_key
+                )
+        if call.ctx.is_resend:
+            self.budget.record_repeat(started_at, call.ctx.service)
         else:
-            self.budget.record_request(began, work.ctx.service)
-        self.decisions.log_routed(work, version)
+            self.budget.record_request(started_at, call.ctx.service)
+        self.decisions.log_routed(call, version)
         try:
-            reply = await self._answer(work, parent, holder)
+            reply = await self._dispatch(call, parent, holder)
         except asyncio.CancelledError:
-            self.decisions.log_cancelled(work.ctx, loop.time() - began)
+            self.decisions.log_cancelled(call.ctx, loop.time() - started_at)
             raise
         if reply.load is not None and not reply.kind and reply.status < MIN_SERVER_ERROR_STATUS:
-            self._learn_cost(work, reply.load, parent)
+            self._record_cost(call, reply.load, parent)
         if parent is not None and (reply.kind or reply.status >= MIN_SERVER_ERROR_STATUS):
-            _note_failed(parent, work, reply)
-        took = loop.time() - began
-        self.decisions.log_completed(work, reply, took, version)
-        self.on_end(work, reply, took)
+            _record_failed_call(parent, call, reply)
+        elapsed = loop.time() - started_at
+        self.decisions.log_completed(call, reply, elapsed, version)
+        self.on_end(call, reply, elapsed)
         return caller_response(reply, terms.request_id)
 
-    async def _answer(self, work: PendingCall, parent: RunningCall | None, holder: Holder) -> Reply:
-        """Give the answer to a request, or to a call of the local target."""
+    async def _dispatch(
+        self, call: PendingCall, parent: RunningCall | None, holder: Holder
+    ) -> Reply:
+        """Dispatch a request or a call of the local target, and return the reply."""
         if parent is not None:
-            return await self.dispatcher.dispatch(work, parent.call.ctx.rule)
-        rule = work.ctx.rule
-        # The most valued go last: one in five that is whole is worth the work of the others.
-        held_back = work.ctx.priority.rank is not Rank.CRITICAL
-        if held_back and not self.outcomes.admits(self.now(), rule):
-            return self.dispatcher.refuse_failing_rule(work)
-        early = self.dispatcher.find_early_refusal(work)
-        if early is not None:
-            return early
+            return await self.dispatcher.dispatch(call, parent.call.ctx.rule)
+        rule = call.ctx.rule
+        # Critical requests are admitted even if most of them fail: one success in five is worth
+        # the work that the others waste.
+        can_be_shed = call.ctx.priority.rank is not Rank.CRITICAL
+        if can_be_shed and not self.outcomes.admits(self.now(), rule):
+            return self.dispatcher.refuse_failing_rule(call)
+        early_refusal = self.dispatcher.find_early_refusal(call)
+        if early_refusal is not None:
+            return early_refusal
         match await self.quotas.take(holder):
             case Err(failure):
-                self._note_denied(work.ctx.request_id, rule, failure, work.ctx.organisation)
+                self._log_denied(call.ctx.request_id, rule, failure, call.ctx.organisation)
                 return refusal(failure)
-            case Ok(loan):
-                reply = await self.dispatcher.send(work)
+            case Ok(lease):
+                reply = await self.dispatcher.send(call)
         if reply.outcome is Outcome.NOT_RUN:
-            self.quotas.give_back(loan)
+            self.quotas.give_back(lease)
         else:
             self.outcomes.record_end(self.now(), rule, failed=bool(reply.cause))
         return reply
 
-    def _note_denied(
+    def _log_denied(
         self, request_id: str, rule: str, failure: Failure, organisation: str = ''
     ) -> None:
         version, age = self.follower.version, self.gate.freshness.age
         self.decisions.log_denied(request_id, rule, failure, version, age, organisation)
 
-    def _learn_cost(self, work: PendingCall, load: Load, parent: RunningCall | None) -> None:
+    def _record_cost(self, call: PendingCall, load: Load, parent: RunningCall | None) -> None:
         if parent is not None:
             parent.downstream_cost += load.cost
             return
-        ctx = work.ctx
+        ctx = call.ctx
         self.costs.record(self.now(), ctx.rule, ctx.priority.rank, load.cost)
 
-    def _work(
+    def _build_call(
         self,
         req: HttpRequest,
         terms: CallerTerms,
@@ -158,7 +161,7 @@
         parent: RunningCall | None,
         holder: Holder,
         *,
-        keyed: bool,
+        requires_key: bool,
     ) -> PendingCall:
         now = self.now()
         time_left = DEFAULT_TIMEOUT_SECONDS if terms.time_left is None else terms.time_left
@@ -169,9 +172,10 @@
             priority = priority_of(rank_of(route, holder), request_id)
             priority = self.costs.adjust_priority(now, route.name, priority)
         else:
-            # Failure: calls of a rank of their own are admitted by another level than the one
-            # that entries compare requests with, so that a service tells "full from rank 1 on"
-            # and all lookups of rank 2 are refused.
+            # A call has the priority of its parent request, as the ingress compares parent requests
+            # with the level that the called service admits. If calls had a rank of their own, a
+            # service that is full from rank 1 on would make the ingress refuse all lookups of
+            # rank 2.
             priority = parent.call.ctx.priority
         ctx = CallContext(
             request_id=request_id,
@@ -189,32 +193,34 @@
             organisation=holder.name if holder else '',
         )
         if parent is not None:
-            ctx = _on_behalf(ctx, parent.call.ctx)
-        headers = travelling_headers(req, self.service, keyed=keyed)
-        tokens = AttemptAllowance(route.attempts - 1)
-        return PendingCall(ctx, req.method, req.path, headers, req.body, tokens, WaitTime(), [])
+            ctx = _inherit(ctx, parent.call.ctx)
+        headers = travelling_headers(req, self.service, keyed=requires_key)
+        allowance = AttemptAllowance(route.attempts - 1)
+        return PendingCall(ctx, req.method, req.path, headers, req.body, allowance, WaitTime(), [])
 
 
-def _note_failed(parent: RunningCall, work: PendingCall, reply: Reply) -> None:
+def _record_failed_call(parent: RunningCall, call: PendingCall, reply: Reply) -> None:
     parent.downstream_retry_after = max(
         parent.downstream_retry_after, reply.retry_after, MIN_RETRY_AFTER_SECONDS
     )
-    parent.downstream_failure = reply.cause or f'{work.ctx.service} {reply.kind or reply.status}'
+    parent.downstream_failure = reply.cause or f'{call.ctx.service} {reply.kind or reply.status}'
 
 
-def _on_behalf(ctx: CallContext, root: CallContext) -> CallContext:
-    """Give a call of the local target the other terms of the request that it is made for."""
+def _inherit(ctx: CallContext, parent: CallContext) -> CallContext:
+    """Apply the deadline, hop count and organisation of the parent request to a target's call."""
     return ctx._replace(
-        deadline=min(ctx.deadline, root.deadline),
-        hop=min(root.hop + 1, MAX_HOPS),
-        is_resend=root.is_resend,
-        organisation=root.organisation,
+        deadline=min(ctx.deadline, parent.deadline),
+        hop=min(parent.hop + 1, MAX_HOPS),
+        is_resend=parent.is_resend,
+        organisation=parent.organisation,
     )
 
 
-def _refused(terms: CallerTerms, kind: ErrorKind, retry_after: float = 0.0) -> HttpResponse:
-    return _answer_refused(terms, Failure(kind, '', retry_after))
+def _refusal_response(
+    terms: CallerTerms, kind: ErrorKind, retry_after: float = 0.0
+) -> HttpResponse:
+    return _failure_response(terms, Failure(kind, '', retry_after))
 
 
-def _answer_refused(terms: CallerTerms, failure: Failure) -> HttpResponse:
+def _failure_response(terms: CallerTerms, failure: Failure) -> HttpResponse:
     return caller_response(refusal(failure), terms.request_id)
--- a/dunlinsaddle/mesh/metrics.py
+++ b/dunlinsaddle/mesh/metrics.py
@@ -1,7 +1,7 @@
-"""The metrics of a node on the platform, as text for Prometheus.
+"""Metrics of a node on the platform, in the Prometheus text format.
 
-Histograms are plain counts with the label ``le``, observed when somebody asks: recording each
-call with an instrument took 17 us, a tenth of what a node spends on it.
+Histograms are plain counters with the label ``le``, read at each scrape: recording each call with
+an instrument took 17 us, a tenth of the time that a node spends on a call.
 """
 
 import asyncio
@@ -29,16 +29,15 @@
 from dunlinsaddle.routes.follow import ConfigFollower
 from dunlinsaddle.stats import LATENCY_BOUNDS, Stats
 
-MAX_AGE_SECONDS = 86_400.0  #: seconds; a gauge takes no infinite age
-MAX_REPORTED_ORGANISATIONS = (
-    10  #: organisations in a metric: a label for each would grow with the customers
-)
+MAX_AGE_SECONDS = 86_400.0  #: upper bound of reported ages, as a gauge cannot be infinite
+#: Organisations in one metric; with a label for each, the metric would grow with the customers.
+MAX_REPORTED_ORGANISATIONS = 10
 PATH = '/metrics'
 CONTENT_TYPE = b'text/plain; version=0.0.4; charset=utf-8'
 
 
 class MetricsSource(Protocol):
-    """The parts of a node that metrics are read from."""
+    """The parts of a node that the metrics are read from."""
 
     settings: MeshSettings
     stats: Stats
@@ -55,159 +54,161 @@
 
 
 class MeshMetrics:
-    """The instruments of one node, and the face that shows them."""
+    """The instruments of one node, and the endpoint that exposes them."""
 
     def __init__(self, node: MetricsSource) -> None:
         self.node = node
         reader = PrometheusMetricReader(disable_target_info=True, scope_info_enabled=False)
-        # The exporter puts its collector into the registry of the process, which several nodes
+        # The exporter registers its collector in the registry of the process, which several nodes
         # in one process would share.
         self.registry = CollectorRegistry()
         self.registry.register(reader._collector)
         cfg = node.settings
         resource = {'service.name': 'dunlinsaddle', 'service.instance.id': cfg.instance}
         self.metrics = Metrics(resource, further=[reader])
-        # A reader that cuts the answer short keeps what tells a node's beliefs: they are few lines,
-        # and come before the histograms.
-        self._observe_beliefs()
+        # The node's view of the cluster comes before the histograms: these few lines are kept by a
+        # scraper that truncates the response.
+        self._observe_cluster_view()
         self._observe_target()
         self._observe_access()
         observe_stats(self.metrics, node.stats)
         self._observe_calls()
 
     async def handle(self, req: HttpRequest) -> HttpResponse:
-        """Answer a question for the metrics."""
+        """Return the metrics."""
         if req.method != 'GET' or req.path.partition('?')[0] != PATH:
             return failure_response(Failure(ErrorKind.NOT_FOUND, req.path))
         headers = [(b'content-type', CONTENT_TYPE)]
         return HttpResponse(200, headers, generate_latest(self.registry))
 
     def close(self) -> None:
-        """Let go of the instruments."""
+        """Shut down the instruments."""
         self.metrics.close()
 
     def _observe_calls(self) -> None:
-        add, node = self.metrics, self.node
-        add.counter(
+        metrics, node = self.metrics, self.node
+        metrics.counter(
             'dunlinsaddle.latency_bucket',
             '{call}',
-            'Calls that took at most so many seconds, cumulative, by hop.',
-            lambda: _latency(node.stats),
+            'Calls that took at most `le` seconds, cumulative, by hop.',
+            lambda: _latency_buckets(node.stats),
         )
-        add.gauge('dunlinsaddle.load', '{call}', 'Load of the target.', self._load)
-        add.gauge(
+        metrics.gauge('dunlinsaddle.load', '{call}', 'Load of the target.', self._load)
+        metrics.gauge(
             'dunlinsaddle.retry_budget_left',
             '{call}',
-            'Repeats that this node may still send in the present window, by service.',
+            'Retries that this node may still send in the current window, by service.',
             lambda: [
                 (left, {'service': name}) for name, left in node.budget.remaining(_now()).items()
             ],
         )
 
-    def _observe_beliefs(self) -> None:
-        add, node = self.metrics, self.node
-        add.gauge(
+    def _observe_cluster_view(self) -> None:
+        metrics, node = self.metrics, self.node
+        metrics.gauge(
             'dunlinsaddle.configuration_version',
             '1',
-            'Version in force here, 0 for none.',
+            'Version of the configuration that this node uses, 0 for none.',
             lambda: [(node.follower.version, {})],
         )
-        add.gauge(
+        metrics.gauge(
             'dunlinsaddle.configuration_revision',
             '1',
-            'Revision of the store up to which this node knows all changes of the configuration.',
+            'Revision of the store up to which this node has all changes of the configuration.',
             lambda: [(place_of(node.follower.known_to).revision, {})],
         )
-        add.gauge(
+        metrics.gauge(
             'dunlinsaddle.store_epoch',
             '1',
-            'Epoch of that revision; rises each time the store returns from a copy.',
+            'Epoch of that revision; increases each time the store is restored from a copy.',
             lambda: [(place_of(node.follower.known_to).epoch, {})],
         )
-        add.gauge(
+        metrics.gauge(
             'dunlinsaddle.members',
             '{instance}',
-            'Instances by what is believed of them.',
+            'Instances by their state as this node sees it.',
             lambda: _members(node.view),
         )
-        add.counter(
+        metrics.counter(
             'dunlinsaddle.platform_calls',
             '{call}',
             'Calls to the platform, each watch as one.',
             lambda: [(node.store.calls, {})],
         )
-        add.counter(
+        metrics.counter(
             'dunlinsaddle.platform_failures',
             '{call}',
-            'Calls to the platform that it refused or did not answer, by why.',
+            'Calls to the platform that it refused or did not answer, by reason.',
             lambda: _failures(node.store),
         )
-        add.gauge(
+        metrics.gauge(
             'dunlinsaddle.belief_age',
             's',
-            'Seconds since the latest word of the target and of the platform.',
+            'Seconds since the latest message from the target and from the platform.',
             self._ages,
         )
 
     def _observe_target(self) -> None:
-        add, node = self.metrics, self.node
-        add.gauge(
+        metrics, node = self.metrics, self.node
+        metrics.gauge(
             'dunlinsaddle.target_rate',
             '{request}/s',
-            'Requests a second that the target says it takes, none where it names no rate.',
+            'Requests per second that the target announces as its limit; absent without a limit.',
             lambda: (
                 []
                 if node.target_status.reported.rate is None
                 else [(node.target_status.reported.rate, {})]
             ),
         )
-        add.gauge(
+        metrics.gauge(
             'dunlinsaddle.target_leaving',
             '1',
-            'Whether the target says with its answers that it leaves.',
+            'Whether the target announces in its responses that it is leaving.',
             lambda: [(int(node.target_status.reported.leaving), {})],
         )
 
     def _observe_access(self) -> None:
-        add, node = self.metrics, self.node
-        add.gauge(
+        metrics, node = self.metrics, self.node
+        metrics.gauge(
             'dunlinsaddle.configuration_age',
             's',
-            'Seconds since it was proved that no newer configuration is there.',
+            'Seconds since it was confirmed that no newer configuration exists.',
             lambda: [(min(node.freshness.age, MAX_AGE_SECONDS), {})],
         )
-        add.gauge(
+        metrics.gauge(
             'dunlinsaddle.quota_left',
             '{request}',
-            'Requests that may still be lent here, of the organisations nearest to their limit.',
-            lambda: _nearest(node.ledger.tokens_left()),
+            'Requests that this node may still lend, of the organisations nearest to their quota.',
+            lambda: _lowest_quotas(node.ledger.tokens_left()),
         )
-        add.counter(
+        metrics.counter(
             'dunlinsaddle.quota_questions',
             '{message}',
-            'Questions to the lenders of quotas.',
+            'Requests to the nodes that lend quotas.',
             lambda: [(node.quotas.questions.count, {})],
         )
 
     def _load(self) -> Values:
         load = self.node.admission.load(_now())
-        found = {'inflight': load.inflight, 'waiting': load.waiting, 'limit': load.limit}
-        return [(value, {'of': name}) for name, value in found.items()]
+        values = {'inflight': load.inflight, 'waiting': load.waiting, 'limit': load.limit}
+        return [(value, {'of': name}) for name, value in values.items()]
 
     def _ages(self) -> Values:
-        heard = {'target': self.node.heartbeat_endpoint.last_heartbeat_at}
+        last_message_at = {'target': self.node.heartbeat_endpoint.last_heartbeat_at}
         match self.node.store:
             case HttpObjectStore(answered_at=answered_at):
-                heard['platform'] = answered_at
-        return [(_now() - at, {'of': name}) for name, at in heard.items() if at > -math.inf]
+                last_message_at['platform'] = answered_at
+        return [
+            (_now() - at, {'of': name}) for name, at in last_message_at.items() if at > -math.inf
+        ]
 
 
-def _nearest(tokens: dict[str, float]) -> Values:
+def _lowest_quotas(tokens: dict[str, float]) -> Values:
     lowest = sorted(tokens.items(), key=lambda item: item[1])[:MAX_REPORTED_ORGANISATIONS]
     return [(left, {'organisation': name}) for name, left in lowest]
 
 
-def _latency(stats: Stats) -> Values:
+def _latency_buckets(stats: Stats) -> Values:
     return [
         pair
         for hop, buckets in stats.latency.items()
--- a/dunlinsaddle/mesh/node.py
+++ b/dunlinsaddle/mesh/node.py
@@ -1,13 +1,8 @@
-"""One node on the platform: wires its parts together and runs their loops."""
-
+"""A node on the users' platform: creates its components, connects them and runs their tasks."""
 import asyncio
 import contextlib
 import logging
 from collections.abc import Callable, Coroutine
-from functools import partial
-from random import Random
-from typing import TYPE_CHECKING, Any, NamedTuple
-
 from dunlinsaddle.access.freshness import Freshness
 from dunlinsaddle.access.gate import Gate
 from dunlinsaddle.access.peers import GossipPeers
@@ -53,35 +48,39 @@
 from dunlinsaddle.routes.proofs import ProofAsker
 from dunlinsaddle.settings import Address
 from dunlinsaddle.stats import CallLabel, Hop, Stats
+from functools import partial
+from random import Random
+from typing import Any, NamedTuple, TYPE_CHECKING
 
 if TYPE_CHECKING:
     from dunlinsaddle.mesh.metrics import MeshMetrics
 
-#: Bodies of the store and of requests; the operators' limits bound what callers send.
+#: Largest body of a request or of a response of the store. The operators set a lower limit for
+#: requests of callers.
 MAX_BODY_BYTES = 1 << 26
-#: Requests of one connection that run at the same time. Callers that send ahead send a few.
+#: Requests of one connection that run at the same time. Callers that pipeline send a few.
 MAX_PIPELINED_REQUESTS = 16
-#: Seconds for which a stopping node still takes requests: callers are told within two
-#: questions, a second apart, that it is not ready, and those on their way arrive after that.
+#: Time for which a stopping node still accepts requests. Callers learn that it is not ready from
+#: two readiness checks, a second apart, and requests already sent arrive after that.
 CALLER_DRAIN_SECONDS = 2.5
-#: Seconds for one call to the store. It answers in 4 ms, and in trouble in some 400 ms.
+#: Timeout of one call to the store. It responds in 4 ms, and in about 400 ms when impaired.
 STORE_TIMEOUT_SECONDS = 2.0
-#: Share of the time for which a draining target serves on, after which no call waits for it. The
-#: rest is for calls that are on their way, and for what is refused to be served elsewhere.
+#: Share of the drain time in which calls may still wait for a draining target. The rest is for
+#: calls in flight, and for refused calls to be served by other targets.
 DRAIN_WAIT_SHARE = 0.5
-#: Seconds before the kill at which a stopping node ends whatever still runs.
+#: Time before the kill at which a stopping node ends the requests that still run.
 KILL_MARGIN_SECONDS = 0.4
-#: The platform gives its processes no secret, and its network is closed: the key keeps out
-#: what speaks to these ports by mistake, no more.
+#: The platform provides no secret, and its network is closed: the key only rejects connections
+#: that reach the peer and gossip ports by mistake.
 PEER_KEY = 'dunlinsaddle on the platform'
-#: A restarted node that the store does not answer is found by the pings of its peers: with
-#: twelve of them, each a second, within a second. A death costs no more than the calls that
-#: are out, since routers leave out suspects, so it is concluded soon.
+#: A node that restarts while the store is unavailable is found by its peers, which ping it again:
+#: twelve peers with one ping per second each need less than a second. The suspicion timeout is
+#: short because a false death costs only the calls in flight: routers skip suspects anyway.
 GOSSIP_TIMES = GossipTimes(revisit=1.0, suspicion=3.0)
 
 
 class ListenAddresses(NamedTuple):
-    """The addresses that a node listens on."""
+    """Addresses that a node listens on, by purpose."""
 
     callers: Address
     announce: Address
@@ -92,7 +91,7 @@
 
 
 class MeshNode(OnLoop):
-    """The process beside one target of the platform."""
+    """The node of one target of the platform."""
 
     def __init__(
         self,
@@ -112,43 +111,43 @@
         self.running = RunningCalls()
         self.admission = SlotAdmission()
         self.quarantine = Quarantine()
-        self.view = MemberView(self._member_changed)
+        self.view = MemberView(self._on_member_change)
         self.platform_client = HttpClient(MAX_BODY_BYTES)
         self.store = store or HttpObjectStore(
             settings.platform, self.platform_client, STORE_TIMEOUT_SECONDS
         )
         self._build_membership()
         self._build_calls()
-        self._build_faces()
+        self._build_listeners()
         self.addresses: ListenAddresses
         self.bootstrap: Bootstrap
         self._tasks: set[asyncio.Task[None]] = set()
 
-    def _rng(self) -> Random:
+    def _new_rng(self) -> Random:
         return Random(self.env.rng.random())
 
     def _build_membership(self) -> None:
         cfg = self.settings
         limits = LinkLimits(max_body_bytes=MAX_BODY_BYTES)
-        self.agent = GossipAgent(self.view, PEER_KEY, self._rng(), times=GOSSIP_TIMES)
+        self.agent = GossipAgent(self.view, PEER_KEY, self._new_rng(), times=GOSSIP_TIMES)
         self.links = PeerLinks(PEER_KEY, cfg.instance, limits)
-        self.peer_server = PeerServer(PEER_KEY, self._serve_peer, limits, self._peer_fault)
+        self.peer_server = PeerServer(PEER_KEY, self._serve_peer, limits, self._on_peer_fault)
         self.freshness = Freshness(self.env.lease_clock, cfg.limits.revocation_seconds)
         self.follower = ConfigFollower(
             self.store,
             configuration.KIND,
             configuration.NAME,
             configuration.read_configuration,
-            self._rng(),
+            self._new_rng(),
             self.logger,
             self.freshness,
         )
         self.follower.links = self.links
-        self.follower.peers = self._others
-        self.follower.on_change = self._configured
+        self.follower.peers = self._other_members
+        self.follower.on_change = self._on_configuration
         self.follower.on_return = lambda: self.bootstrap.store_returned()
         self.watchers = Watchers(self.view, cfg.domain)
-        self.follower.watches = self._watches
+        self.follower.watches = self._is_watcher
         self.agent.gossip.on_news = self.follower.hear
         self.ledger = QuotaLedger(
             cfg.limits.quota_slack, cfg.limits.quota_window_seconds, cfg.limits.quota_overage
@@ -157,8 +156,10 @@
         self.quotas = Quotas(cfg.instance, peers, self.ledger, self.follower.organisation)
         self.agent.on_quota = self.quotas.hear
         self.peer_server.on_records = self.follower.answer
-        self.deaths = CrashNotifier(self.links, self.quarantine, self._others, self.logger)
-        self.peer_server.on_deaths = self.deaths.receive
+        self.crash_notifier = CrashNotifier(
+            self.links, self.quarantine, self._other_members, self.logger
+        )
+        self.peer_server.on_deaths = self.crash_notifier.receive
 
     def _build_calls(self) -> None:
         cfg = self.settings
@@ -170,14 +171,14 @@
             self.running,
             self.stats,
             self.quarantine,
-            on_target_crash=self.deaths.broadcast,
+            on_target_crash=self.crash_notifier.broadcast,
             dialect=MeshTargetProtocol(self.target),
         )
-        self.target.on_start = self._target_started
-        self.target.on_drain = self._target_drains
+        self.target.on_start = self._on_target_start
+        self.target.on_drain = self._on_target_drain
         self.level_gossip = LevelGossip(self.agent, self.admission, self.executor.levels)
         self.agent.gossip.on_level = self.level_gossip.receive
-        self.router = Router(cfg.domain, self._rng(), cfg.instance)
+        self.router = Router(cfg.domain, self._new_rng(), cfg.instance)
         self.dispatcher = Dispatcher(
             cfg.instance,
             self.view,
@@ -200,7 +201,7 @@
         self.executor.on_target_status = self.target_status.update
         self.executor.target_status = self.target_status.peer_report
 
-    def _build_faces(self) -> None:
+    def _build_listeners(self) -> None:
         cfg = self.settings
         self.ingress = IngressHandler(
             self.follower,
@@ -209,9 +210,9 @@
             self.budget,
             cfg.service,
             self.running,
-            self._rng(),
+            self._new_rng(),
             self.decisions,
-            self._ended,
+            self._on_request_end,
             self.quotas,
         )
         self.heartbeat_endpoint = HeartbeatEndpoint(
@@ -224,17 +225,17 @@
         )
         limits = HttpLimits(max_body_bytes=MAX_BODY_BYTES)
         self.callers_listener = HttpListener(
-            self.ingress.handle, limits, self._fault, pipeline=MAX_PIPELINED_REQUESTS
+            self.ingress.handle, limits, self._on_fault, pipeline=MAX_PIPELINED_REQUESTS
         )
         self.heartbeat_listener = HttpListener(
-            self.heartbeat_endpoint.handle, HttpLimits(), self._fault
+            self.heartbeat_endpoint.handle, HttpLimits(), self._on_fault
         )
-        self.readiness_listener = HttpListener(self._answer_ready, HttpLimits(), self._fault)
-        self.metrics: MeshMetrics | None = None  #: built when somebody asks for them
-        self.metrics_listener = HttpListener(self._answer_metrics, HttpLimits(), self._fault)
+        self.readiness_listener = HttpListener(self._handle_readiness, HttpLimits(), self._on_fault)
+        self.metrics: MeshMetrics | None = None  #: created on the first request for metrics
+        self.metrics_listener = HttpListener(self._handle_metrics, HttpLimits(), self._on_fault)
 
     async def start(self) -> ListenAddresses:
-        """Listen on all faces and start the loops. Raises OSError when an address is taken."""
+        """Open all listeners and start the tasks. Raises OSError if an address is in use."""
         cfg = self.settings
         self.addresses = ListenAddresses(
             await self.callers_listener.listen(cfg.callers),
@@ -246,21 +247,23 @@
         )
         self.agent.start(self.local_member())
         roster = Roster(self.store, cfg.domain)
-        self.bootstrap = Bootstrap(roster, self.agent.gossip, self._rng())
-        delays = startup_delays(self._rng(), first_start=cfg.first_start)
+        self.bootstrap = Bootstrap(roster, self.agent.gossip, self._new_rng())
+        delays = startup_delays(self._new_rng(), first_start=cfg.first_start)
         membership_known_at = self.now() + delays.membership
-        self._spawn(_later(delays.roster, self.bootstrap.run))
-        self._spawn(_later(delays.configuration, partial(self.follower.run, membership_known_at)))
+        self._spawn(_run_after(delays.roster, self.bootstrap.run))
+        self._spawn(
+            _run_after(delays.configuration, partial(self.follower.run, membership_known_at))
+        )
         self._spawn(self.level_gossip.run())
-        proofs = ProofAsker(
-            self.follower, self.freshness, self.view, self.watchers, cfg.instance, self._rng()
+        proof_requests = ProofAsker(
+            self.follower, self.freshness, self.view, self.watchers, cfg.instance, self._new_rng()
         )
-        self._spawn(proofs.run())
+        self._spawn(proof_requests.run())
         self._spawn(self.agent.run())
         return self.addresses
 
     async def drain(self) -> None:
-        """Take no new work at the target, let callers leave, and end what is in progress."""
+        """Stop new work at the target, wait for callers to leave, and finish running requests."""
         loop = self.loop
         kill_at = loop.time() + self.settings.limits.grace_seconds - KILL_MARGIN_SECONDS
         self.is_stopping = True
@@ -277,29 +280,29 @@
                 await self.running.wait_idle()
 
     async def stop(self) -> None:
-        """Close everything."""
+        """Cancel the tasks and close all listeners and connections."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
-        faces = (
+        listeners = (
             self.callers_listener,
             self.heartbeat_listener,
             self.readiness_listener,
             self.metrics_listener,
         )
-        for face in faces:
-            face.close()
+        for listener in listeners:
+            listener.close()
         if self.metrics is not None:
             self.metrics.close()
         self.agent.leave()
-        self.deaths.close()
+        self.crash_notifier.close()
         self.peer_server.close()
         self.links.close()
         self.client.close()
         self.platform_client.close()
 
     def local_member(self) -> Member:
-        """Give the word that this node spreads of itself."""
+        """Return this node as it announces itself to the other members."""
         state = State.DRAINING if self.target.draining else State.ALIVE
         return Member(
             self.settings.instance,
@@ -311,32 +314,33 @@
             self.addresses.gossip,
         )
 
-    async def _answer_ready(self, req: HttpRequest) -> HttpResponse:
+    async def _handle_readiness(self, req: HttpRequest) -> HttpResponse:
         ready = self.follower.version > 0 and self.bootstrap.settled and not self.is_stopping
         return HttpResponse(200 if ready else 503, [], b'')
 
-    async def _answer_metrics(self, req: HttpRequest) -> HttpResponse:
-        # The exporters take as long to import as all the rest. The first who asks waits for it
-        # once; a node that starts after a loss of power serves its callers a tenth sooner.
+    async def _handle_metrics(self, req: HttpRequest) -> HttpResponse:
+        # The import of the exporters takes as long as that of all other modules, so it is delayed
+        # until the first request for metrics. A node that starts after a power failure serves its
+        # callers a tenth sooner.
         if self.metrics is None:
             from dunlinsaddle.mesh.metrics import MeshMetrics
 
             self.metrics = MeshMetrics(self)
         return await self.metrics.handle(req)
 
-    def _watches(self) -> bool:
+    def _is_watcher(self) -> bool:
         return self.watchers.includes(self.settings.instance)
 
-    def _others(self) -> list[Member]:
-        mine = self.settings.instance
-        return [m for m in self.view.members() if m.instance != mine and not m.gone]
+    def _other_members(self) -> list[Member]:
+        own_instance = self.settings.instance
+        return [m for m in self.view.members() if m.instance != own_instance and not m.gone]
 
-    def _configured(self, found: Configuration) -> None:
-        # Of three watchers each tells its whole domain: a datagram may get lost.
-        domain = self.settings.domain if self._watches() else None
-        near = [m for m in self._others() if m.domain == domain]
-        self.agent.tell_news(found.version, near)
-        limits = found.limits
+    def _on_configuration(self, new_configuration: Configuration) -> None:
+        # Each of the three watchers notifies its whole domain, as datagrams may be lost.
+        domain = self.settings.domain if self._is_watcher() else None
+        domain_members = [m for m in self._other_members() if m.domain == domain]
+        self.agent.tell_news(new_configuration.version, domain_members)
+        limits = new_configuration.limits
         self.callers_listener.limits = HttpLimits(
             limits.header_bytes,
             limits.body_bytes,
@@ -347,17 +351,18 @@
     def _announce_self(self) -> None:
         self.agent.announce(self.local_member())
 
-    def _member_changed(self, before: Member | None, member: Member) -> None:
-        # The dead count as well while they are held: too many nodes is the safe side.
+    def _on_member_change(self, previous: Member | None, member: Member) -> None:
+        # Dead members that are still in the view count too: an estimate that is too high only
+        # makes the shares of this node smaller.
         self.budget.node_count = self.router.sender_count = max(len(self.view), 1)
-        if before is not None and before.state is member.state:
+        if previous is not None and previous.state is member.state:
             return
         self.quotas.members_change()
         extra = {'member': member.instance, 'state': member.state.name.lower()}
         self.logger.info('member changed', extra={**extra, 'service': member.service})
 
     def update_limits(self, limits: DeploymentLimits) -> None:
-        """Take what the settings say now of the deployment's promises."""
+        """Apply changed deployment limits."""
         self.settings = self.settings._replace(limits=limits)
         self.budget.set_limits(limits.retry_ratio, limits.extra_retries)
         self.freshness.most = limits.revocation_seconds
@@ -365,35 +370,39 @@
         self.ledger.window = limits.quota_window_seconds
         self.ledger.overage = limits.quota_overage
 
-    def _target_started(self) -> None:
+    def _on_target_start(self) -> None:
         self.admission.reset_after_restart(self.now())
         self.target_status.reset()
 
-    def _target_drains(self) -> None:
+    def _on_target_drain(self) -> None:
         seconds = self.settings.limits.drain_seconds * DRAIN_WAIT_SHARE
-        self.loop.call_later(seconds, self._end_waits)
+        self.loop.call_later(seconds, self._refuse_waiting)
 
-    def _end_waits(self) -> None:
-        # Where little may run at once calls wait for longer than the target serves on.
+    def _refuse_waiting(self) -> None:
+        # With few slots, calls may wait for longer than the draining target accepts requests.
         if self.target.draining:
             self.executor.refuse_waiting()
 
-    def _ended(self, work: PendingCall, reply: Reply, took: float) -> None:
-        rank = work.ctx.priority.rank.name.lower()
-        self.stats.count(CallLabel(work.ctx.service, rank, reply.outcome.value, reply.kind))
-        self.stats.took(Hop.WHOLE, took)
+    def _on_request_end(self, call: PendingCall, reply: Reply, elapsed: float) -> None:
+        rank = call.ctx.priority.rank.name.lower()
+        self.stats.count(CallLabel(call.ctx.service, rank, reply.outcome.value, reply.kind))
+        self.stats.took(Hop.WHOLE, elapsed)
 
     async def _serve_peer(self, call: Call) -> Reply:
         self.target_status.restore(call.request_id, call.target_state)
         return await self.executor.execute(read_call_frame(call, self.now()))
 
-    def _peer_fault(self, call: Call) -> None:
+    def _on_peer_fault(self, call: Call) -> None:
         self.stats.faults += 1
-        self.logger.exception('fault while answering a peer', extra={'service': call.service})
+        self.logger.exception(
+            'unhandled exception while answering a peer', extra={'service': call.service}
+        )
 
-    def _fault(self, req: HttpRequest) -> None:
+    def _on_fault(self, req: HttpRequest) -> None:
         self.stats.faults += 1
-        self.logger.exception('fault while answering', extra={'path': req.path})
+        self.logger.exception(
+            'unhandled exception while answering a request', extra={'path': req.path}
+        )
 
     def _spawn(self, coro: Coroutine[Any, Any, None]) -> None:
         task = self.loop.create_task(coro)
@@ -401,6 +410,6 @@
         task.add_done_callback(self._tasks.discard)
 
 
-async def _later(seconds: float, run: Callable[[], Coroutine[Any, Any, None]]) -> None:
+async def _run_after(seconds: float, run: Callable[[], Coroutine[Any, Any, None]]) -> None:
     await asyncio.sleep(seconds)
     await run()
--- a/dunlinsaddle/mesh/retries.py
+++ b/dunlinsaddle/mesh/retries.py
@@ -1,4 +1,4 @@
-"""Which requests go to a further target, and the budget that pays for it."""
+"""Decides which requests are sent to another target, within a shared retry budget."""
 
 from dunlinsaddle.calls.call_state import PendingCall
 from dunlinsaddle.calls.messages import Reply
@@ -7,56 +7,58 @@
 from dunlinsaddle.policy.retry import LOST_ANSWER_KINDS, REFUSED_BY_NODE, RetryAllowance
 from dunlinsaddle.policy.retry_budget import RetryBudget
 
-SERVER_ERROR_STATUS = 500  #: the status of a target that failed by itself
-MAX_NODE_REFUSALS = 3  #: nodes in turn that may refuse a request before its caller is told
-#: Sends of one request that targets turn away unrun. Of a service that turns away 55 in 100, six
-#: serve 97 in 100, and of the requests that need eight calls 80 in 100; twelve serve nearly all.
+SERVER_ERROR_STATUS = 500  #: sent by a target that failed while it ran the request
+MAX_NODE_REFUSALS = 3  #: refusals by nodes after which a request is refused to its caller
+#: Sends of one request that targets refuse to run. If they refuse 55 % of all calls, six sends
+#: serve 97 % of the calls, but 80 % of requests that need eight calls; twelve serve nearly all.
 MAX_SENDS_AFTER_REFUSAL = 12
-#: Sends of one request whose answers are lost. Of a service that loses four in ten, four serve 97
-#: in 100 (two: 84); more would leave no time, as a lost answer takes as long as a good one.
+#: Sends of one request whose responses are lost. If 40 % are lost, four sends serve 97 % (two:
+#: 84 %). There is no time for more, as a lost response takes as long as a successful one.
 MAX_SENDS_AFTER_LOSS = 4
 
 
 class AttemptAllowance(RetryAllowance):
-    """The targets that a request may still be sent to; none of them goes down the chain."""
+    """Counts the targets that a request may still be sent to, at this hop only."""
 
-    refused = 0
+    node_refusals = 0
     sends = 1
 
     def delegate(self) -> int:
-        """Hand nothing down: the count is that of one hop alone."""
+        """Return 0: no attempts are passed on to the next hop."""
         return 0
 
 
 class BudgetedRetries(OnLoop):
-    """Sends again what provably did not run, and what is idempotent and was lost.
+    """Retries calls that certainly did not run, and idempotent calls that were lost.
 
-    What a node refused before it reached a target costs nothing but the time. Everything else
-    draws on the budget of the service, which all nodes share.
+    A call that a node refused before it reached a target is retried without cost. All other
+    retries use the budget of the service, which all nodes share.
     """
 
     def __init__(self, budget: RetryBudget) -> None:
         self.budget = budget
 
     def allows(self, call: PendingCall, reply: Reply) -> bool:
-        """Say whether another target may be given a call that ended so."""
+        """Return whether a call that ended with this reply may be sent to another target."""
         if not reply.kind:
-            return _failed_alone(reply) and call.ctx.idempotent and not call.ctx.hop
+            return _is_isolated_failure(reply) and call.ctx.idempotent and not call.ctx.hop
         kind = ErrorKind(reply.kind)
         if reply.outcome is Outcome.NOT_RUN:
             return kind in REFUSED_BY_NODE or kind is ErrorKind.TARGET_REFUSED
         return call.ctx.idempotent and kind in LOST_ANSWER_KINDS
 
     def spend(self, call: PendingCall, reply: Reply) -> bool:
-        """Pay for sending it; False when there is nothing left to pay with."""
+        """Charge a retry to the limits and the budget; return False if it exceeds one of them."""
         allowance = call.allowance
         assert isinstance(allowance, AttemptAllowance)
         if reply.outcome is Outcome.NOT_RUN and ErrorKind(reply.kind) in REFUSED_BY_NODE:
-            allowance.refused += 1
-            return allowance.refused < MAX_NODE_REFUSALS
+            allowance.node_refusals += 1
+            return allowance.node_refusals < MAX_NODE_REFUSALS
         allowance.sends += 1
-        turned_away = reply.kind == ErrorKind.TARGET_REFUSED.value
-        if allowance.sends > (MAX_SENDS_AFTER_REFUSAL if turned_away else MAX_SENDS_AFTER_LOSS):
+        refused_by_target = reply.kind == ErrorKind.TARGET_REFUSED.value
+        if allowance.sends > (
+            MAX_SENDS_AFTER_REFUSAL if refused_by_target else MAX_SENDS_AFTER_LOSS
+        ):
             return False
         if not self.budget.spend(self.now(), call.ctx.service, call.ctx.priority.level):
             return False
@@ -64,25 +66,26 @@
         return True
 
     def is_limited_to_tried_targets(self, call: PendingCall) -> bool:
-        """Say whether a call goes to the targets that were given it, and to no further one.
+        """Return whether a call may only be sent again to targets that already received it.
 
-        Failure: all targets of a service turn away half of what arrives. A route allows two
-        targets for each request: a quarter of the calls failed, and nearly all requests that
-        need eight. One more send to a target that was given it is as good as to another.
+        A route limits the number of targets per request. If all targets of a service refuse half
+        of the calls and a route allows two targets, a quarter of the calls would fail, and nearly
+        all requests that need eight calls. Another send to the same target is as likely to
+        succeed as one to a further target.
         """
         return call.allowance.tokens == 0
 
     def prepare_resend(self, call: PendingCall, reply: Reply) -> PendingCall:
-        """Mark what may have run before: the calls that its next run makes are repeats, too."""
+        """Mark a call that may have run before, as the calls of its next run are repeats too."""
         if reply.outcome is Outcome.NOT_RUN:
             return call
         return call._replace(ctx=call.ctx._replace(is_resend=True))
 
 
-def _failed_alone(reply: Reply) -> bool:
-    """Say whether a target failed by itself: mostly it fails once, and another one answers.
+def _is_isolated_failure(reply: Reply) -> bool:
+    """Return whether a target failed on its own, so that another target is likely to succeed.
 
-    One that failed for a call of its own is told when to come back. Sent again at once, its
-    request would meet the same overload further down, and repeat all calls on the way there.
+    A reply with a retry delay failed because of a call of the target. An immediate retry would
+    meet the same overload further down the chain, and repeat all calls on the way there.
     """
     return reply.status == SERVER_ERROR_STATUS and reply.retry_after <= 0
--- a/dunlinsaddle/mesh/settings.py
+++ b/dunlinsaddle/mesh/settings.py
@@ -1,4 +1,4 @@
-"""What a node on the platform is told at its start. Times in seconds."""
+"""Start-up settings of a node on the platform. Times are in seconds."""
 
 from typing import NamedTuple
 
@@ -6,32 +6,31 @@
 
 
 class DeploymentLimits(NamedTuple):
-    """Promises of the deployment that bind a node."""
-
-    drain_seconds: (
-        float  #: a target gets no new work later than this after its notice was acknowledged
-    )
-    grace_seconds: float  #: from the signal to stop to the kill
-    retry_ratio: float  #: arrivals beyond the first of each request, as a share of requests
-    extra_retries: float  #: further such arrivals in each window, over all nodes
+    """Limits that a node must keep, as promised by the deployment."""
+
+    #: Longest time from the acknowledgement of a target's draining notice until it gets no new
+    #: requests.
+    drain_seconds: float
+    grace_seconds: float  #: from the stop signal until the process is killed
+    retry_ratio: float  #: retries of requests, as a share of all requests
+    extra_retries: float  #: further retries in each window, over all nodes
     retry_window_seconds: float
-    quota_slack: float = 0.0  #: requests of an organisation beyond its quota in each window
+    quota_slack: float = 0.0  #: requests in each window by which a quota may be exceeded
     quota_overage: float = 0.0  #: share of a quota by which it may be exceeded
-    quota_window_seconds: float = 5.0  #: seconds over which quotas are counted
-    revocation_seconds: float | None = (
-        None  #: a key that was taken away is refused by then, everywhere
-    )
+    quota_window_seconds: float = 5.0  #: the window over which quotas are counted
+    #: Time within which all nodes refuse a revoked key; None for no limit.
+    revocation_seconds: float | None = None
 
 
 class MeshSettings(NamedTuple):
-    """Names and addresses of one node and of the target beside it."""
+    """Names, addresses and limits of one node and of its local target."""
 
     instance: str
     domain: str
     region: str
-    callers: Address  #: where callers on this machine and the target send requests
+    callers: Address  #: receives requests from local callers and from the target itself
     ready: Address
-    announce: Address  #: where the target sends its heartbeats
+    announce: Address  #: receives the target's heartbeats
     peers: Address
     gossip: Address
     metrics: Address
@@ -39,4 +38,4 @@
     service: str
     platform: Address
     limits: DeploymentLimits
-    first_start: bool = False  #: the whole deployment starts now, and nobody needs it yet
+    first_start: bool = False  #: the whole deployment starts now and has no callers yet
--- a/dunlinsaddle/mesh/startup.py
+++ b/dunlinsaddle/mesh/startup.py
@@ -1,30 +1,32 @@
-"""When a node that starts asks the store for the first time."""
+"""Delays that spread the first requests of starting nodes to the store."""
 
 from random import Random
 from typing import NamedTuple
 
-#: Seconds over which nodes spread their first calls to the store when a whole deployment starts.
-#: Callers come some ten seconds later. All at once they would each write a roster.
+#: Time over which nodes spread their first access to the roster when a whole deployment starts.
+#: Callers come some ten seconds later. Without the spread all nodes would each write a roster.
 ROSTER_SPREAD_SECONDS = 2.0
-#: Seconds over which nodes then spread their first look at the configuration. The first ones tell
-#: the others, so that most need none.
+#: Time over which nodes then spread their first fetch of the configuration. The first nodes send
+#: it to the others, so that most need no fetch.
 CONFIGURATION_SPREAD_SECONDS = 2.0
-#: Seconds after which a node of a large deployment knows enough of the others to say whether it
-#: falls to it to watch; 72 nodes that start at once all think so at first.
+#: Time after which a node of a large deployment knows enough members to decide whether it is one
+#: of the watchers; of 72 nodes that start at once, all consider themselves watchers at first.
 MEMBERSHIP_SETTLE_SECONDS = 6.0
 
 
 class StartupDelays(NamedTuple):
-    """Seconds after its start at which a node does what for the first time."""
+    """Seconds from the start of a node to its first use of the store and of the membership."""
 
-    roster: float = 0.0  #: it looks for the others
-    configuration: float = 0.0  #: it looks at the configuration, unless it has heard of it
-    membership: float = 0.0  #: it knows whether it falls to it to watch
+    roster: float = 0.0  #: until it reads the roster to find the other nodes
+    configuration: float = 0.0  #: until it fetches the configuration, unless a peer has sent it
+    membership: float = 0.0  #: until it relies on the members to tell whether it is a watcher
 
 
 def startup_delays(rng: Random, *, first_start: bool) -> StartupDelays:
-    """Plan a start: a node that restarts hurries, as callers wait for it."""
+    """Return the delays: none for a node that restarts, as callers are waiting for it."""
     if not first_start:
         return StartupDelays()
-    looks = ROSTER_SPREAD_SECONDS + rng.uniform(0, CONFIGURATION_SPREAD_SECONDS)
-    return StartupDelays(rng.uniform(0, ROSTER_SPREAD_SECONDS), looks, MEMBERSHIP_SETTLE_SECONDS)
+    configuration_delay = ROSTER_SPREAD_SECONDS + rng.uniform(0, CONFIGURATION_SPREAD_SECONDS)
+    return StartupDelays(
+        rng.uniform(0, ROSTER_SPREAD_SECONDS), configuration_delay, MEMBERSHIP_SETTLE_SECONDS
+    )
--- a/dunlinsaddle/mesh/target_protocol.py
+++ b/dunlinsaddle/mesh/target_protocol.py
@@ -1,5 +1,4 @@
-"""Speaks to the local target as the platform's targets expect it."""
-
+"""HTTP protocol that the platform's targets expect: request headers and response checks."""
 from dunlinsaddle.calls.call_state import PendingCall, RunningCall
 from dunlinsaddle.calls.http import HttpResponse
 from dunlinsaddle.calls.messages import Headers, Reply
@@ -8,24 +7,24 @@
 
 
 class MeshTargetProtocol:
-    """Names the incarnation that may run the call, and checks that the answer is to it."""
+    """Adds the expected target incarnation to requests and checks the signature of responses."""
 
     def __init__(self, target: LocalTarget) -> None:
         self.target = target
 
-    def request_headers(self, work: PendingCall, running: RunningCall, seconds: float) -> Headers:
-        """Give the caller's headers, the time left, and the incarnation that is meant."""
-        organisation = work.ctx.organisation
-        return target_headers(work.headers, seconds, self.target.target_id, organisation)
+    def request_headers(self, call: PendingCall, running: RunningCall, seconds: float) -> Headers:
+        """Return the caller's headers with the remaining time and the expected incarnation."""
+        organisation = call.ctx.organisation
+        return target_headers(call.headers, seconds, self.target.target_id, organisation)
 
-    def matches_request(self, work: PendingCall, headers: Headers) -> bool:
-        """Say whether an answer names this request, or none."""
-        return answers(work.ctx.request_id, headers)
+    def matches_request(self, call: PendingCall, headers: Headers) -> bool:
+        """Return whether a response names this request, or no request at all."""
+        return answers(call.ctx.request_id, headers)
 
     def read_reply(self, response: HttpResponse) -> Reply:
-        """Tell what a whole answer says of the call."""
+        """Convert a complete response to a reply."""
         return read_answer(response)
 
     def read_advertised_state(self, response: HttpResponse) -> AdvertisedState | None:
-        """Tell what a whole answer says of the target; None unless it is the target's own."""
+        """Return the target's status from a response; None unless this target sent it."""
         return read_said(response, self.target.target_id)
--- a/dunlinsaddle/mesh/target_status.py
+++ b/dunlinsaddle/mesh/target_status.py
@@ -1,22 +1,20 @@
-"""What the target beside the node says of itself with its answers, and for how long it holds."""
-
+"""Status that the local target announces with its responses: its rate limit and its departure."""
 import math
 from collections.abc import Callable
-
 from dunlinsaddle.calls.decisions import DecisionLog
 from dunlinsaddle.calls.messages import RelayedTargetState
-from dunlinsaddle.calls.target import NOTHING_ADVERTISED, AdvertisedState, LocalTarget
+from dunlinsaddle.calls.target import AdvertisedState, LocalTarget, NOTHING_ADVERTISED
 from dunlinsaddle.loops import OnLoop
 from dunlinsaddle.policy.rate_limit import MIN_RATE
 from dunlinsaddle.policy.slots import SlotAdmission
 
 
 class TargetStatus(OnLoop):
-    """Holds what the target has said last, and has the node act on it.
+    """Holds the latest status of the target and applies it to admission and routing.
 
-    Answers overtake one another. A lower rate holds at once. A higher one, or none, holds by the
-    answer to a request that was sent after the lower one was heard: an earlier answer that was
-    long on its way would lift the bound of a target in need.
+    Responses can arrive out of order. A lower rate applies at once. A higher rate, or none,
+    applies only if its request was sent after the lower rate was received: a delayed earlier
+    response would otherwise lift the limit of an overloaded target.
     """
 
     def __init__(
@@ -26,64 +24,67 @@
         decisions: DecisionLog,
         on_leaving: Callable[[], None] = lambda: None,
     ) -> None:
-        self.on_leaving = on_leaving  #: tells other nodes that nothing new may be sent here
+        self.on_leaving = on_leaving  #: announces to other nodes that the target is draining
         self.target = target
         self.admission = admission
         self.decisions = decisions
         self.reported = NOTHING_ADVERTISED
-        self._named_at = -math.inf  #: when the rate was named last
-        self._began_at = -math.inf  #: when the present incarnation was announced
-        self._heard_at = -math.inf  #: when it has answered last
+        self._rate_reported_at = -math.inf  #: when a rate was reported last
+        self._started_at = -math.inf  #: when the current incarnation was announced
+        self._updated_at = -math.inf  #: when it responded last
 
     def reset(self) -> None:
-        """Forget what the incarnation before has said."""
+        """Discard the status of the previous incarnation."""
         self.reported = NOTHING_ADVERTISED
-        self._began_at = self.now()
-        self._heard_at = -math.inf
+        self._started_at = self.now()
+        self._updated_at = -math.inf
 
     def peer_report(self) -> RelayedTargetState | None:
-        """Give what others are told, None where there is nothing to tell."""
-        said = self.reported
-        if said == NOTHING_ADVERTISED:
+        """Return the status to send to other nodes; None if the target has reported nothing."""
+        reported = self.reported
+        if reported == NOTHING_ADVERTISED:
             return None
-        rate = None if said.rate is None else max(said.rate, MIN_RATE)
+        rate = None if reported.rate is None else max(reported.rate, MIN_RATE)
         use = self.admission.rate_utilisation(self.now())
-        return RelayedTargetState(self.target.incarnation, rate, use, said.leaving)
+        return RelayedTargetState(self.target.incarnation, rate, use, reported.leaving)
+
+    def restore(self, request_id: str, report: RelayedTargetState | None) -> None:
+        """Restore the status that a peer got from this node before the node was restarted.
 
-    def restore(self, request_id: str, told: RelayedTargetState | None) -> None:
-        """Take what this node told another before it was started again, of the same incarnation."""
-        if told is None or told.incarnation != self.target.incarnation:
+        A report on another incarnation of the target is ignored.
+        """
+        if report is None or report.incarnation != self.target.incarnation:
             return
-        rate = told.rate if self._heard_at == -math.inf else self.reported.rate
-        self._take(request_id, AdvertisedState(rate, told.leaving), 'entry')
+        rate = report.rate if self._updated_at == -math.inf else self.reported.rate
+        self._apply(request_id, AdvertisedState(rate, report.leaving), 'entry')
 
-    def update(self, request_id: str, sent_at: float, said: AdvertisedState) -> None:
-        """Take what came with the answer to a request that was sent at ``sent_at``."""
-        if sent_at < self._began_at:
+    def update(self, request_id: str, sent_at: float, status: AdvertisedState) -> None:
+        """Record the status from the response to a request that was sent at ``sent_at``."""
+        if sent_at < self._started_at:
             return
-        held = self.reported
-        higher = _rate(said) > _rate(held)
-        self._heard_at = self.now()
-        if said.unreadable is not None or (higher and sent_at < self._named_at):
-            said = said._replace(rate=held.rate)
-        elif said.rate is not None:
-            self._named_at = self._heard_at
-        self._take(request_id, said, 'answer')
+        previous = self.reported
+        is_higher = _rate(status) > _rate(previous)
+        self._updated_at = self.now()
+        if status.unreadable is not None or (is_higher and sent_at < self._rate_reported_at):
+            status = status._replace(rate=previous.rate)
+        elif status.rate is not None:
+            self._rate_reported_at = self._updated_at
+        self._apply(request_id, status, 'answer')
 
-    def _take(self, request_id: str, said: AdvertisedState, source: str) -> None:
-        held = self.reported
-        if held.leaving and not said.leaving:
-            # One that leaves does so for good, whatever answers are still on their way.
-            said = said._replace(leaving=True)
-        if said == held:
+    def _apply(self, request_id: str, status: AdvertisedState, source: str) -> None:
+        previous = self.reported
+        if previous.leaving and not status.leaving:
+            # Leaving is final; delayed responses may not carry the announcement.
+            status = status._replace(leaving=True)
+        if status == previous:
             return
-        self.decisions.log_target_state(request_id, self.target.target_id, said, held, source)
-        self.reported = said
-        self.admission.set_rate_limit(self.now(), said.rate)
-        if said.leaving and not held.leaving:
+        self.decisions.log_target_state(request_id, self.target.target_id, status, previous, source)
+        self.reported = status
+        self.admission.set_rate_limit(self.now(), status.rate)
+        if status.leaving and not previous.leaving:
             self.target.drain()
             self.on_leaving()
 
 
-def _rate(said: AdvertisedState) -> float:
-    return math.inf if said.rate is None else said.rate
+def _rate(status: AdvertisedState) -> float:
+    return math.inf if status.rate is None else status.rate
--- a/tests/fakes/mesh.py
+++ b/tests/fakes/mesh.py
@@ -1,14 +1,7 @@
-"""Whole nodes of the platform with their targets in one loop, over one store."""
-
+"""Nodes of the platform and their targets in one event loop, with a shared fake store."""
 import asyncio
-from collections import Counter
-from functools import partial
-from random import Random
-from typing import Any, NamedTuple
-
 import msgspec
-from result import Err
-
+from collections import Counter
 from dunlinsaddle.calls.client import HttpClient
 from dunlinsaddle.calls.connection import Answered
 from dunlinsaddle.calls.http import HttpLimits, HttpRequest, HttpResponse
@@ -17,10 +10,14 @@
 from dunlinsaddle.mesh.settings import DeploymentLimits, MeshSettings
 from dunlinsaddle.platform.store import Unavailable
 from dunlinsaddle.settings import Address
+from functools import partial
+from random import Random
+from result import Err
 from tests.builders import build_configuration, build_environment, build_logger, build_route
 from tests.fakes.network import network_here
 from tests.fakes.site import HOST, paused_wall_clock
 from tests.fakes.store import FakeStore
+from typing import Any, NamedTuple
 
 LIMITS = DeploymentLimits(
     drain_seconds=2.0,
@@ -31,19 +28,19 @@
     quota_slack=20.0,
     revocation_seconds=5.0,
 )
-BEAT_SECONDS = 1.5
+HEARTBEAT_INTERVAL_SECONDS = 1.5
 
 
 class Arrival(NamedTuple):
     """A request that reached a target."""
 
-    when: float
-    origin: str  #: the service of the instance where it began
+    arrived_at: float
+    origin: str  #: service of the instance that received it from its caller
     request_id: str
 
 
 class MeshTarget:
-    """A target that announces itself, checks whom a request expects, and signs its answers."""
+    """A target that sends heartbeats, checks the expected instance, and signs its responses."""
 
     def __init__(self, service: str, *, slots: int = 40, response_seconds: float = 0.01) -> None:
         self.service = service
@@ -57,9 +54,8 @@
         self.runs: Counter[str] = Counter()
         self.cancelled = 0
         self.requests: list[HttpRequest] = []
-        self.respond: Any = None  #: answers in place of the target
-        self.extra_headers: list[tuple[bytes, bytes]] = []  #: headers that it adds to its answers
-        #: Of each request that arrived: when, and at which instance it began, by its service.
+        self.respond: Any = None  #: handler that replaces the default response
+        self.extra_headers: list[tuple[bytes, bytes]] = []  #: added to each signed response
         self.arrivals: list[Arrival] = []
         self.node: MeshNode
         self.listener = HttpListener(self.handle, HttpLimits())
@@ -84,16 +80,16 @@
     def signed_response(
         self, req: HttpRequest, status: int = 200, body: bytes = b'ok'
     ) -> HttpResponse:
-        names = [
+        headers = [
             (b'request-id', req.header(b'request-id').encode()),
             (b'server-signature', self.target_id.encode()),
             *self.extra_headers,
         ]
-        return HttpResponse(status, names, body)
+        return HttpResponse(status, headers, body)
 
     def build_heartbeat(self, **changes: Any) -> HttpRequest:
         self.sequence += 1
-        said = {
+        fields = {
             'service': self.service,
             'address': str(self.node.settings.target),
             'zone': 'd',
@@ -105,10 +101,12 @@
             'born': self.started_at_ms,
             **changes,
         }
-        return HttpRequest('PUT', f'/instances/{self.target_id}', [], msgspec.json.encode(said), '')
+        return HttpRequest(
+            'PUT', f'/instances/{self.target_id}', [], msgspec.json.encode(fields), ''
+        )
 
     async def send_heartbeat(self, client: HttpClient, **changes: Any) -> int:
-        """Send one heartbeat; gives the status of the answer."""
+        """Send one heartbeat; return the response status, 0 without a response."""
         exchange = await client.send(
             self.node.settings.announce, self.build_heartbeat(**changes), 1
         )
@@ -118,11 +116,11 @@
         while True:
             if self.heartbeats_enabled:
                 await self.send_heartbeat(client)
-            await asyncio.sleep(BEAT_SECONDS)
+            await asyncio.sleep(HEARTBEAT_INTERVAL_SECONDS)
 
 
-class StoreOfNode:
-    """The store as one node reaches it; it may turn some nodes away and serve the others."""
+class NodeStore:
+    """The store as one node sees it: unavailable for nodes in ``Mesh.nodes_without_store``."""
 
     def __init__(self, mesh: 'Mesh', name: str) -> None:
         self.mesh = mesh
@@ -133,9 +131,9 @@
         return self.mesh.store.calls
 
     def __getattr__(self, method: str) -> Any:
-        return partial(self._ask, method)
+        return partial(self._call, method)
 
-    async def _ask(self, method: str, *args: Any, **kwargs: Any) -> Any:
+    async def _call(self, method: str, *args: Any, **kwargs: Any) -> Any:
         store = self.mesh.store
         if self.name in self.mesh.nodes_without_store:
             store.calls += 1
@@ -144,84 +142,92 @@
 
 
 class Mesh:
-    """Nodes by name, each beside a target."""
+    """A cluster of nodes by name, each with its own target."""
 
     def __init__(self, seed: int = 5) -> None:
         self.store = FakeStore()
-        self.nodes_without_store: set[str] = set()  #: nodes that the store turns away
-        self.isolated: set[str] = set()  #: nodes that nothing reaches but their callers
+        self.nodes_without_store: set[str] = set()  #: get status 503 from the store
+        self.isolated: set[str] = set()  #: reachable only by their callers
         self.stopped: set[str] = set()
         self.first_start = False
         self.rng = Random(seed)
         self.client = HttpClient(allow_close_delimited=True)
         self.nodes: dict[str, MeshNode] = {}
         self.targets: dict[str, MeshTarget] = {}
-        self._beats: list[asyncio.Task[None]] = []
-        self._requests = 0
-
-    async def configure(self, version: str = 'r7', **terms: Any) -> None:
-        """Write a configuration with a route to each service, ``/SERVICE/``."""
-        services = terms.pop('services', ('front', 'deep'))
-        tenants = terms.pop('tenants', None)
-        routes = [build_route(s, prefix=f'/{s}/', service=s, **terms) for s in services]
-        held = self.store.objects.get(('config', 'main'))
+        self._heartbeat_tasks: list[asyncio.Task[None]] = []
+        self._request_count = 0
+
+    async def configure(self, version: str = 'r7', **options: Any) -> None:
+        """Store a configuration that routes ``/SERVICE/`` to each service."""
+        services = options.pop('services', ('front', 'deep'))
+        tenants = options.pop('tenants', None)
+        routes = [build_route(s, prefix=f'/{s}/', service=s, **options) for s in services]
+        stored = self.store.objects.get(('config', 'main'))
         value = build_configuration(version, routes, tenants)
-        await self.store.put('config', 'main', value, held.version if held else 0)
+        await self.store.put('config', 'main', value, stored.version if stored else 0)
 
     async def add_node(
-        self, name: str, service: str, domain: str = 'd', port: int = 0, **target: Any
+        self, name: str, service: str, domain: str = 'd', port: int = 0, **target_options: Any
     ) -> MeshNode:
-        """Start a target and the node beside it."""
+        """Start a target and its node."""
         port = port or 100 * (len(self.nodes) + 1)
-        made = MeshTarget(service, **target)
+        target = MeshTarget(service, **target_options)
         node = self.build_node(name, service, domain, port)
-        made.node = node
-        self.targets[name] = made
-        await made.listener.listen(node.settings.target)
+        target.node = node
+        self.targets[name] = target
+        await target.listener.listen(node.settings.target)
         await node.start()
-        self._beats.append(asyncio.create_task(made.run_heartbeats(self.client)))
+        self._heartbeat_tasks.append(asyncio.create_task(target.run_heartbeats(self.client)))
         return node
 
     def build_node(self, name: str, service: str, domain: str, port: int) -> MeshNode:
-        at = [Address(HOST, port + n) for n in range(7)]
+        addresses = [Address(HOST, port + n) for n in range(7)]
         store = Address(HOST, 9)
         cfg = MeshSettings(
-            name, domain, 'r', *at[:6], at[6], service, store, LIMITS, self.first_start
+            name,
+            domain,
+            'r',
+            *addresses[:6],
+            addresses[6],
+            service,
+            store,
+            LIMITS,
+            self.first_start,
         )
         env = build_environment(rng=Random(self.rng.random()), wall_clock=paused_wall_clock)
-        node = MeshNode(cfg, env, build_logger(), StoreOfNode(self, name))
-        self._make_cuttable(name, node)
+        node = MeshNode(cfg, env, build_logger(), NodeStore(self, name))
+        self._allow_isolation(name, node)
         self.nodes[name] = node
         return node
 
-    def _make_cuttable(self, name: str, node: MeshNode) -> None:
-        dial = node.links._get_link
+    def _allow_isolation(self, name: str, node: MeshNode) -> None:
+        open_link = node.links._get_link
 
         async def link(address: Address) -> Any:
-            if name in self.isolated or address in self._addresses_of_isolated():
-                raise TimeoutError('cut off')
-            return await dial(address)
+            if name in self.isolated or address in self._isolated_addresses():
+                raise TimeoutError('isolated')
+            return await open_link(address)
 
         node.links._get_link = link  # type: ignore[method-assign]
 
-    def _addresses_of_isolated(self) -> set[Address]:
+    def _isolated_addresses(self) -> set[Address]:
         return {self.nodes[name].settings.peers for name in self.isolated}
 
     def isolate(self, names: set[str]) -> None:
-        """Cut nodes off from all others and from the store; the empty set heals."""
+        """Isolate only these nodes from all others and from the store."""
         self.isolated = names
         self.nodes_without_store = set(names)
         network_here().silent = {self.nodes[name].settings.gossip for name in names}
 
     async def kill(self, name: str) -> None:
-        """End a node without a word to the others."""
+        """Stop a node without a notice to the others."""
         node = self.nodes[name]
         node.agent._started = False
         self.stopped.add(name)
         await node.stop()
 
     async def restart(self, name: str) -> None:
-        """Start a node again that was killed: at its address, knowing nothing."""
+        """Start a killed node again at its address, without its previous state."""
         cfg = self.nodes[name].settings
         node = self.build_node(name, cfg.service, cfg.domain, cfg.callers.port)
         self.targets[name].node = node
@@ -229,24 +235,24 @@
         await node.start()
 
     async def call(
-        self, entry: str, path: str, method: str = 'GET', timeout: float = 5.0, **headers: str
+        self, ingress: str, path: str, method: str = 'GET', timeout: float = 5.0, **headers: str
     ) -> HttpResponse:
-        """Send a request; fails where no whole answer came."""
-        self._requests += 1
-        named = {
+        """Send a request; raise AssertionError without a complete response."""
+        self._request_count += 1
+        fields = {
             'host': 'h.example',
-            'request-id': f'q-{self._requests}',
+            'request-id': f'q-{self._request_count}',
             'deadline-milliseconds': str(int(timeout * 1000)),
             **{name.replace('_', '-'): text for name, text in headers.items()},
         }
-        pairs = [(name.encode(), text.encode()) for name, text in named.items() if text]
+        pairs = [(name.encode(), text.encode()) for name, text in fields.items() if text]
         req = HttpRequest(method, path, pairs, b'', '')
-        exchange = await self.client.send(self.nodes[entry].settings.callers, req, timeout + 1)
+        exchange = await self.client.send(self.nodes[ingress].settings.callers, req, timeout + 1)
         assert isinstance(exchange, Answered), exchange
         return exchange.response
 
     async def stop(self) -> None:
-        for task in self._beats:
+        for task in self._heartbeat_tasks:
             task.cancel()
         self.client.close()
         for name, node in self.nodes.items():
--- a/tests/fakes/mesh_load.py
+++ b/tests/fakes/mesh_load.py
@@ -1,4 +1,4 @@
-"""Callers of a whole fleet of nodes in one loop, and what they and the targets see."""
+"""Load generator for a cluster of platform nodes, with statistics of requests and targets."""
 
 import asyncio
 import itertools
@@ -12,31 +12,32 @@
 from tests.fakes.mesh import Mesh, MeshTarget
 
 SERVICE = 'deep'
-#: Paths of requests by the rank of their route; 0 is the most valued.
+#: Request paths by the rank of their route; rank 0 has the highest priority.
 PATHS = {0: '/orders/x', 2: '/views/x'}
 ORDER_SHARE = 0.25  #: of all requests
-#: Entries, each of a service of its own, which tells where a request began; and three targets.
-ENTRIES = ('a:front-a:d', 'b:front-b:e', 'c:front-c:f')
+#: Ingress nodes. Each has a service of its own, which identifies it as the origin of a request.
+INGRESS_NODES = ('a:front-a:d', 'b:front-b:e', 'c:front-c:f')
 TARGETS = ('t:deep:d', 'u:deep:e', 'v:deep:f')
-TOLD_BEFORE = 0.5  #: seconds since an instance passed on an answer that names it
+#: Time from the first response with a rate that an origin passes on until its requests count.
+NOTICE_SECONDS = 0.5
 
 
-class Asked(NamedTuple):
-    """One request of a caller and its answer."""
+class SentRequest(NamedTuple):
+    """One request of a caller and its result."""
 
     request_id: str
-    when: float
-    entry: str
+    sent_at: float
+    ingress: str
     rank: int
     status: int
-    seconds: float
+    response_seconds: float
     retry_after: float
 
 
-class Callers:
-    """Callers at the entries, each at so many requests a second, with some clients' habits.
+class LoadGenerator:
+    """Sends ``rate`` requests per second to each ingress node, with random intervals.
 
-    They do not come again after a refusal, so that each request shows what was decided on it.
+    Refused requests are not sent again, so that each request shows one admission decision.
     """
 
     def __init__(self, mesh: Mesh, rate: float, seed: int = 1, timeout: float = 4.0) -> None:
@@ -44,70 +45,76 @@
         self.rate = rate
         self.timeout = timeout
         self.rng = Random(seed)
-        self.asked: list[Asked] = []
-        #: When each instance passed on an answer with a header of its target first.
-        self.told: dict[bytes, dict[str, float]] = {}
-        self._numbers = itertools.count()
-        self._out: set[asyncio.Task[None]] = set()
-
-    async def configure(self, **terms: Any) -> None:
-        """Write routes of two ranks to one service."""
+        self.sent: list[SentRequest] = []
+        #: By header and origin: when the origin first passed on a response with this header.
+        self.first_header_at: dict[bytes, dict[str, float]] = {}
+        self._request_numbers = itertools.count()
+        self._pending: set[asyncio.Task[None]] = set()
+
+    async def configure(self, **route_options: Any) -> None:
+        """Store a configuration with routes of two ranks to one service."""
         routes = []
         for rank, path in PATHS.items():
-            named = {'prefix': path.removesuffix('x'), 'service': SERVICE, 'priority': rank}
-            routes.append(build_route(f'rank-{rank}', **named, **terms))
-        held = self.mesh.store.objects.get(('config', 'main'))
+            route = {'prefix': path.removesuffix('x'), 'service': SERVICE, 'priority': rank}
+            routes.append(build_route(f'rank-{rank}', **route, **route_options))
+        stored = self.mesh.store.objects.get(('config', 'main'))
         value = build_configuration('r9', routes)
-        await self.mesh.store.put('config', 'main', value, held.version if held else 0)
+        await self.mesh.store.put('config', 'main', value, stored.version if stored else 0)
 
-    async def ask_for(self, seconds: float) -> None:
-        """Ask at all entries for a while."""
-        names = [entry.partition(':')[0] for entry in ENTRIES]
+    async def send_for(self, seconds: float) -> None:
+        """Send requests to all ingress nodes for ``seconds``."""
+        names = [ingress.partition(':')[0] for ingress in INGRESS_NODES]
         loop = asyncio.get_running_loop()
         until = loop.time() + seconds
         while loop.time() < until:
             await asyncio.sleep(self.rng.expovariate(self.rate * len(names)))
-            task = loop.create_task(self._ask(self.rng.choice(names)))
-            self._out.add(task)
-            task.add_done_callback(self._out.discard)
+            task = loop.create_task(self._send(self.rng.choice(names)))
+            self._pending.add(task)
+            task.add_done_callback(self._pending.discard)
 
-    async def end(self) -> None:
-        """Wait for the answers that are still out."""
-        while self._out:
-            await asyncio.gather(*self._out)
+    async def wait_for_responses(self) -> None:
+        """Wait for the responses that are still pending."""
+        while self._pending:
+            await asyncio.gather(*self._pending)
 
-    async def _ask(self, entry: str) -> None:
+    async def _send(self, ingress: str) -> None:
         loop = asyncio.get_running_loop()
-        began = loop.time()
+        sent_at = loop.time()
         rank = 0 if self.rng.random() < ORDER_SHARE else 2
-        request_id = f'load-{next(self._numbers)}'
+        request_id = f'load-{next(self._request_numbers)}'
         response = await self.mesh.call(
-            entry, PATHS[rank], timeout=self.timeout, request_id=request_id
+            ingress, PATHS[rank], timeout=self.timeout, request_id=request_id
         )
         now = loop.time()
-        self._note(entry, response, now)
-        found = dict(response.headers)
-        wait = float(found.get(b'retry-after', b'0'))
-        self.asked.append(Asked(request_id, began, entry, rank, response.status, now - began, wait))
+        self._record_headers(ingress, response, now)
+        headers = dict(response.headers)
+        retry_after = float(headers.get(b'retry-after', b'0'))
+        self.sent.append(
+            SentRequest(
+                request_id, sent_at, ingress, rank, response.status, now - sent_at, retry_after
+            )
+        )
 
-    def _note(self, entry: str, response: HttpResponse, now: float) -> None:
-        origin = self.mesh.nodes[entry].settings.service
+    def _record_headers(self, ingress: str, response: HttpResponse, now: float) -> None:
+        origin = self.mesh.nodes[ingress].settings.service
         for name, _ in response.headers:
-            self.told.setdefault(name, {}).setdefault(origin, now)
+            self.first_header_at.setdefault(name, {}).setdefault(origin, now)
 
-    def served(self, rank: int, since: float = 0.0) -> float:
-        """Give the share of the requests of a rank that were served."""
+    def served_share(self, rank: int, since: float = 0.0) -> float:
+        """Return the share of requests of a rank, sent after ``since``, that were served."""
         counts = Counter(
-            one.status == 200 for one in self.asked if one.rank == rank and one.when >= since
+            request.status == 200
+            for request in self.sent
+            if request.rank == rank and request.sent_at >= since
         )
         return counts[True] / max(counts.total(), 1)
 
-    def most_in_window(self, target: MeshTarget, named_at: float) -> int:
-        """Give the most requests that a target got in a window from instances told of its rate."""
-        told = self.told.get(b'server-limit', {})
-        counted = [
-            a.when
+    def max_requests_in_window(self, target: MeshTarget, announced_at: float) -> int:
+        """Return the most requests in a window from origins that know the rate of the target."""
+        first_response_at = self.first_header_at.get(b'server-limit', {})
+        arrival_times = [
+            a.arrived_at
             for a in target.arrivals
-            if a.when >= told.get(a.origin, float('inf')) + TOLD_BEFORE
+            if a.arrived_at >= first_response_at.get(a.origin, float('inf')) + NOTICE_SECONDS
         ]
-        return most_in_window(counted, named_at)
+        return most_in_window(arrival_times, announced_at)
--- a/tests/mesh_case.py
+++ b/tests/mesh_case.py
@@ -1,11 +1,11 @@
-"""A test of whole nodes of the platform in one loop, with a paused clock."""
+"""Base class of tests that run a cluster of platform nodes with a paused clock."""
 
 import asyncio
 
 from tests.clock import PausedClockTest
 from tests.fakes.mesh import Mesh
 
-SETTLE_SECONDS = 4.0  #: seconds after which all nodes know one another and the configuration
+SETTLE_SECONDS = 4.0  #: until all nodes know each other and the configuration
 
 
 class MeshTest(PausedClockTest):
@@ -16,14 +16,14 @@
         configure=True,
         targets=('a:front', 'b:deep'),
         settle_seconds=SETTLE_SECONDS,
-        **terms,
+        **route_options,
     ):
-        """Run a scenario; ``targets`` are names with service and, if not the usual one, domain."""
+        """Run a scenario; each of ``targets`` is ``NAME:SERVICE`` or ``NAME:SERVICE:DOMAIN``."""
 
         async def run():
             mesh = Mesh()
             if configure:
-                await mesh.configure(**terms)
+                await mesh.configure(**route_options)
             for target in targets:
                 await mesh.add_node(*target.split(':'))
             await asyncio.sleep(settle_seconds)
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -1,113 +1,116 @@
-"""A target that says with its answers that it leaves, while its heartbeats still say ready."""
-
+"""Targets that announce in responses that they leave, while heartbeats still say ready."""
 import asyncio
-
 from tests.fakes.mesh import LIMITS
-from tests.fakes.mesh_load import ENTRIES, TARGETS, Callers
+from tests.fakes.mesh_load import INGRESS_NODES, LoadGenerator, TARGETS
 from tests.mesh_case import MeshTest
 
-LEAVING = [(b'server-leaving', b'1')]
+LEAVING_HEADERS = [(b'server-leaving', b'1')]
 
 
 class LeavingTest(MeshTest):
-    """Three entries with 20 requests a second each, and three targets, one of which leaves."""
+    """Three ingress nodes with 20 requests per second each, and three targets; one leaves."""
 
-    def fleet(self, scenario, targets=ENTRIES + TARGETS, **terms):
+    def run_cluster(self, scenario, targets=INGRESS_NODES + TARGETS, **route_options):
         async def run(mesh):
-            callers = Callers(mesh, 20.0)
-            await callers.configure(**terms)
+            callers = LoadGenerator(mesh, 20.0)
+            await callers.configure(**route_options)
             await asyncio.sleep(1)
-            await callers.ask_for(1.0)
+            await callers.send_for(1.0)
             return await scenario(mesh, callers)
 
         return self.run_mesh(run, configure=False, targets=targets)
 
-    async def leave(self, mesh, callers, name='t'):
-        """Let a target say so; give when every entry has passed on an answer that does."""
-        mesh.targets[name].extra_headers = LEAVING
-        await callers.ask_for(2.0)
+    async def announce_leaving(self, mesh, callers, name='t'):
+        """Make a target announce that it leaves; return the time when all origins know it."""
+        mesh.targets[name].extra_headers = LEAVING_HEADERS
+        await callers.send_for(2.0)
         return asyncio.get_running_loop().time()
 
-    def late(self, mesh, callers, name='t'):
-        """Count the requests that were sent too late and reached the target all the same."""
-        told = callers.told.get(b'server-leaving', {})
-        sent = {one.request_id: one for one in callers.asked}
+    def count_late_arrivals(self, mesh, callers, name='t'):
+        """Count requests that reached the target but were sent after the drain time."""
+        announced_at = callers.first_header_at.get(b'server-leaving', {})
+        sent = {request.request_id: request for request in callers.sent}
         return sum(
-            sent[a.request_id].when > told.get(a.origin, float('inf')) + LIMITS.drain_seconds
+            sent[a.request_id].sent_at
+            > announced_at.get(a.origin, float('inf')) + LIMITS.drain_seconds
             for a in mesh.targets[name].arrivals
             if a.request_id in sent
         )
 
-    def test_a_target_that_says_with_its_answers_that_it_leaves_gets_nothing_new(self):
-        """It ends while requests still come, and their callers lose them."""
+    def test_a_target_that_announces_in_responses_that_it_leaves_gets_no_new_requests(self):
+        """Requests that still arrive when the target terminates would be lost."""
 
         async def scenario(mesh, callers):
-            since = await self.leave(mesh, callers)
-            await callers.ask_for(6.0)
-            await callers.end()
-            return self.late(mesh, callers), [callers.served(rank, since) for rank in (0, 2)]
+            since = await self.announce_leaving(mesh, callers)
+            await callers.send_for(6.0)
+            await callers.wait_for_responses()
+            return self.count_late_arrivals(mesh, callers), [
+                callers.served_share(rank, since) for rank in (0, 2)
+            ]
 
-        self.assertEqual((0, [1.0, 1.0]), self.fleet(scenario))
+        self.assertEqual((0, [1.0, 1.0]), self.run_cluster(scenario))
 
-    def test_a_target_that_leaves_and_refused_a_connection_gets_nothing_new(self):
-        """It turns one connection away, and its next heartbeat is taken for that of a new one."""
+    def test_a_leaving_target_that_refused_a_connection_gets_no_new_requests(self):
+        """After a refused connection the next heartbeat would be taken for a new incarnation."""
 
         async def scenario(mesh, callers):
-            await self.leave(mesh, callers)
+            await self.announce_leaving(mesh, callers)
             mesh.nodes['t'].target.record_connection_refused()
-            await callers.ask_for(6.0)
-            await callers.end()
-            return self.late(mesh, callers)
+            await callers.send_for(6.0)
+            await callers.wait_for_responses()
+            return self.count_late_arrivals(mesh, callers)
 
-        self.assertEqual(0, self.fleet(scenario))
+        self.assertEqual(0, self.run_cluster(scenario))
 
-    def test_the_next_incarnation_serves_at_once(self):
+    def test_the_next_incarnation_of_a_leaving_target_gets_requests(self):
         async def scenario(mesh, callers):
-            await self.leave(mesh, callers)
+            await self.announce_leaving(mesh, callers)
             target = mesh.targets['t']
             target.extra_headers, target.started_at_ms, target.sequence = [], 9000, 0
             await target.send_heartbeat(mesh.client)
-            # Entries that met its end avoid it for some seconds.
-            await callers.ask_for(8.0)
-            await callers.end()
-            began = asyncio.get_running_loop().time() - 1.0
-            return sum(a.when > began for a in target.arrivals)
+            # Ingress nodes that saw the target terminate avoid it for some seconds.
+            await callers.send_for(8.0)
+            await callers.wait_for_responses()
+            since = asyncio.get_running_loop().time() - 1.0
+            return sum(a.arrived_at > since for a in target.arrivals)
 
-        self.assertGreater(self.fleet(scenario), 0)
+        self.assertGreater(self.run_cluster(scenario), 0)
 
-    def test_entries_that_were_told_keep_to_it_though_the_node_beside_the_target_starts_again(self):
-        """The new node knows of no leaving, and hands on the first request that it is sent."""
+    def test_a_leaving_target_gets_no_new_requests_after_its_node_restarts(self):
+        """The restarted node has lost the announcement and would pass on the first request."""
 
         async def scenario(mesh, callers):
-            await self.leave(mesh, callers)
+            await self.announce_leaving(mesh, callers)
             await mesh.kill('t')
-            await callers.ask_for(3.0)
+            await callers.send_for(3.0)
             await mesh.restart('t')
-            await callers.ask_for(8.0)
-            await callers.end()
-            return self.late(mesh, callers)
+            await callers.send_for(8.0)
+            await callers.wait_for_responses()
+            return self.count_late_arrivals(mesh, callers)
 
-        self.assertEqual(0, self.fleet(scenario))
+        self.assertEqual(0, self.run_cluster(scenario))
 
-    def test_what_waits_for_the_rate_of_a_target_that_leaves_is_not_given_to_it_later(self):
-        """Where little may run a call waits for seconds, and reaches a target that has left."""
+    def test_calls_waiting_for_a_rate_are_not_sent_to_a_draining_target_after_the_drain_time(self):
+        """With a low rate a call waits for seconds and would reach a target that has terminated."""
 
         async def scenario(mesh, callers):
             target = mesh.targets['t']
             target.extra_headers = [(b'server-limit', b'0.5')]
             await mesh.call('a', '/orders/x')
-            asked = [
+            calls = [
                 asyncio.create_task(mesh.call('a', '/orders/x', timeout=8.0)) for _ in range(4)
             ]
             await asyncio.sleep(2.2)
             target.state = 'draining'
             await target.send_heartbeat(mesh.client)
             acknowledged_at = asyncio.get_running_loop().time()
-            answers = await asyncio.gather(*asked)
-            last = target.arrivals[-1].when - acknowledged_at
-            return last, {answer.status for answer in answers}
+            responses = await asyncio.gather(*calls)
+            last_arrival = target.arrivals[-1].arrived_at - acknowledged_at
+            return last_arrival, {response.status for response in responses}
 
-        long = {'timeout': '8000ms', 'targetLatency': None}
-        last, statuses = self.fleet(scenario, (*ENTRIES, 't:deep:d'), **long)
-        self.assertLessEqual(last, LIMITS.drain_seconds)
+        route_options = {'timeout': '8000ms', 'targetLatency': None}
+        last_arrival, statuses = self.run_cluster(
+            scenario, (*INGRESS_NODES, 't:deep:d'), **route_options
+        )
+        self.assertLessEqual(last_arrival, LIMITS.drain_seconds)
         self.assertEqual({200, 503}, statuses)
--- a/tests/test_mesh_calls.py
+++ b/tests/test_mesh_calls.py
@@ -1,42 +1,42 @@
+
 import asyncio
 from collections import Counter
-from typing import Any
-
 from dunlinsaddle.calls.http import HttpResponse
 from tests.mesh_case import MeshTest
+from typing import Any
 
 
-class ResendTest(MeshTest):
-    def test_a_target_that_fails_by_itself_is_followed_by_another_one(self):
-        # One run in a hundred ends with 500: the caller of a lookup gets the other target's
-        # answer, and its own second try is spared.
+class RetryTest(MeshTest):
+    def test_a_request_that_failed_at_one_target_is_sent_to_another(self):
+        # One run in a hundred ends with 500. The caller of an idempotent request gets the response
+        # of another target and needs no retry of its own.
         async def scenario(mesh):
             b = mesh.targets['b']
 
-            async def failing(req):
+            async def fail(req):
                 return b.signed_response(req, status=500)
 
-            b.respond = failing
+            b.respond = fail
             return {(await mesh.call('a', '/deep/x')).status for _ in range(6)}
 
         targets = ('a:front', 'b:deep', 'c:deep')
         self.assertEqual({200}, self.run_mesh(scenario, targets=targets))
 
-    def test_calls_leave_targets_that_lose_most_of_their_answers(self):
-        # Two of three targets break off within a millisecond in place of most answers. They
-        # look idle, so first and second tries go to them, and callers get 502 for seconds.
-        async def lose(req):
-            target = mesh_now.targets['b']
+    def test_targets_that_lose_most_responses_get_few_requests(self):
+        # Two of three targets fail most requests within a millisecond. They have the lowest load,
+        # so that first and second sends would go to them, and callers would get 502 for seconds.
+        async def lose_response(req):
+            target = current_mesh.targets['b']
             if sum(target.runs.values()) % 5:
                 return HttpResponse(200, [], b'')
             return target.signed_response(req)
 
-        mesh_now: Any = None
+        current_mesh: Any = None
 
         async def scenario(mesh):
-            nonlocal mesh_now
-            mesh_now = mesh
-            mesh.targets['b'].respond = mesh.targets['c'].respond = lose
+            nonlocal current_mesh
+            current_mesh = mesh
+            mesh.targets['b'].respond = mesh.targets['c'].respond = lose_response
             statuses = []
             for _ in range(150):
                 statuses.append((await mesh.call('a', '/deep/x')).status)
@@ -48,71 +48,71 @@
 
 
 class EarlyRefusalTest(MeshTest):
-    def test_a_request_is_held_against_the_levels_once(self):
-        # Each look counts the request in the trend of the demand, and draws again whether one at
-        # the edge of a level may pass: looked at twice, such requests were refused twice as often.
+    def test_a_request_is_checked_against_the_admitted_levels_once(self):
+        # Each check counts the request as demand, and decides at random whether a request at the
+        # edge of the level is admitted. Two checks would refuse such requests twice as often.
         async def scenario(mesh):
             levels = mesh.nodes['a'].executor.levels
-            looks, check = [], levels.check
+            checks, check = [], levels.check
 
-            def note(*args, **kwargs):
-                looks.append(args)
+            def counted_check(*args, **kwargs):
+                checks.append(args)
                 return check(*args, **kwargs)
 
-            levels.check = note
+            levels.check = counted_check
             await mesh.call('a', '/deep/x')
-            return len(looks)
+            return len(checks)
 
         self.assertEqual(1, self.run_mesh(scenario))
 
 
-class ParentTest(MeshTest):
-    def test_a_targets_call_takes_the_terms_of_the_request_it_is_made_for(self):
-        # The target derives the id of its call from the one it runs: the call goes before
-        # requests at the entry, with the rank of its root, and ends with its root's time.
+class TargetCallTest(MeshTest):
+    def test_a_call_of_a_target_inherits_from_its_parent_request(self):
+        # The id of the call is derived from that of the request that the target runs. It identifies
+        # the parent, from which the call inherits priority, deadline and hop count.
         async def scenario(mesh):
-            a, seen = mesh.targets['a'], {}
+            a, contexts = mesh.targets['a'], {}
 
-            async def calling(req):
+            async def respond(req):
                 request_id = req.header(b'request-id')
                 await asyncio.sleep(0.3)
-                down = await mesh.call('a', '/deep/x', request_id=f'{request_id}.7f')
-                return a.signed_response(req, status=down.status)
+                inner = await mesh.call('a', '/deep/x', request_id=f'{request_id}.7f')
+                return a.signed_response(req, status=inner.status)
 
             execute = mesh.nodes['b'].executor.execute
 
-            async def watched(work):
-                seen[work.ctx.request_id] = work.ctx
+            async def record_context(work):
+                contexts[work.ctx.request_id] = work.ctx
                 return await execute(work)
 
-            mesh.nodes['b'].executor.execute = watched
-            a.respond = calling
+            mesh.nodes['b'].executor.execute = record_context
+            a.respond = respond
             response = await mesh.call('a', '/front/x', request_id='root', priority='0')
-            alone = await mesh.call('a', '/deep/x', request_id='other.7f')
-            return response.status, alone.status, seen
+            unrelated = await mesh.call('a', '/deep/x', request_id='other.7f')
+            return response.status, unrelated.status, contexts
 
-        first, alone, seen = self.run_mesh(scenario)
-        self.assertEqual((200, 200), (first, alone))
-        self.assertEqual((1, 0), (seen['root.7f'].hop, seen['other.7f'].hop))
+        related, unrelated, contexts = self.run_mesh(scenario)
+        self.assertEqual((200, 200), (related, unrelated))
+        self.assertEqual((1, 0), (contexts['root.7f'].hop, contexts['other.7f'].hop))
 
-    def test_requests_are_refused_at_their_entry_when_the_service_below_is_full(self):
-        # 300 requests a second need two calls each of a service that takes 380 a second. A
-        # request that loses a call has wasted the work of its own target and its caller's
-        # time; refused at the entry it has not run, and comes back soon.
+    def test_requests_are_refused_at_the_ingress_when_a_called_service_is_overloaded(self):
+        # 300 requests per second need two calls each of a service that has a capacity of 380 per
+        # second. A request whose call is refused wastes the work of its target and the time of its
+        # caller. A request refused at the ingress has not run and can be retried soon.
         async def scenario(mesh):
             a, b = mesh.targets['a'], mesh.targets['b']
             b.slots, b.response_seconds = 20, 0.05
             await b.send_heartbeat(mesh.client)
 
-            async def calling(req):
+            async def respond(req):
                 request_id = req.header(b'request-id')
                 for number in range(2):
-                    down = await mesh.call('a', '/deep/x', request_id=f'{request_id}.{number}')
-                    if down.status != 200:
+                    inner = await mesh.call('a', '/deep/x', request_id=f'{request_id}.{number}')
+                    if inner.status != 200:
                         return a.signed_response(req, status=500)
                 return a.signed_response(req)
 
-            a.respond = calling
+            a.respond = respond
             calls = []
             for number in range(900):
                 request_id = f'root{number}'
@@ -122,24 +122,24 @@
             return Counter([(await call).status for call in calls])
 
         targets = ('a:front', 'b:deep', 'c:other')
-        ended = self.run_mesh(scenario, targets=targets)
-        self.assertGreater(ended[200], 400)
-        self.assertGreater(ended[503], 150)
-        self.assertLess(ended[500], 150)
+        statuses = self.run_mesh(scenario, targets=targets)
+        self.assertGreater(statuses[200], 400)
+        self.assertGreater(statuses[503], 150)
+        self.assertLess(statuses[500], 150)
 
-    def test_calls_of_a_repeated_run_count_as_repeats(self):
+    def test_calls_of_a_repeated_request_count_as_retries(self):
         async def scenario(mesh):
             a = mesh.targets['a']
 
-            async def calling(req):
+            async def respond(req):
                 request_id = req.header(b'request-id')
                 await mesh.call('a', '/deep/x', request_id=f'{request_id}.1')
                 return a.signed_response(req)
 
-            async def failing(req):
+            async def fail(req):
                 return a.signed_response(req, status=500)
 
-            a.respond, mesh.targets['c'].respond = calling, failing
+            a.respond, mesh.targets['c'].respond = respond, fail
             for number in range(20):
                 await mesh.call('c', '/front/x', request_id=f'root{number}')
             now = asyncio.get_running_loop().time()
@@ -148,26 +148,26 @@
         targets = ('a:front', 'b:deep', 'c:front')
         self.assertGreater(self.run_mesh(scenario, targets=targets), 0)
 
-    def test_a_request_that_failed_further_down_is_not_sent_again_at_once(self):
-        # A service further down is refused; the target above answers 500. The caller is told
-        # when to come back, and no second run adds to the overload.
+    def test_a_request_that_failed_because_of_a_call_is_not_retried_at_once(self):
+        # A call to another service is refused, and the target responds with 500. The caller gets a
+        # Retry-After, and no second run adds to the overload.
         async def scenario(mesh):
             targets = {name: mesh.targets[name] for name in 'ac'}
             mesh.targets['b'].state = 'draining'
             await mesh.targets['b'].send_heartbeat(mesh.client)
 
-            def calling(name):
-                async def script(req):
+            def respond_with_call(name):
+                async def respond(req):
                     request_id = f'{req.header(b"request-id")}.1'
-                    down = await mesh.call(name, '/deep/x', request_id=request_id)
+                    inner = await mesh.call(name, '/deep/x', request_id=request_id)
                     return targets[name].signed_response(
-                        req, status=200 if down.status == 200 else 500
+                        req, status=200 if inner.status == 200 else 500
                     )
 
-                return script
+                return respond
 
             for name, target in targets.items():
-                target.respond = calling(name)
+                target.respond = respond_with_call(name)
             response = await mesh.call('b', '/front/x')
             return response, sum(sum(target.runs.values()) for target in targets.values())
 
@@ -175,18 +175,18 @@
         self.assertEqual((500, 1), (response.status, runs))
         self.assertGreater(float(dict(response.headers)[b'retry-after']), 0)
 
-    def test_a_targets_failure_is_told_when_nobody_else_answers(self):
+    def test_the_response_of_a_failed_target_is_passed_on_without_another_target(self):
         async def scenario(mesh):
             b = mesh.targets['b']
 
-            async def failing(req):
-                return b.signed_response(req, status=500, body=b'its own words')
+            async def fail(req):
+                return b.signed_response(req, status=500, body=b'error of the target')
 
-            b.respond = failing
+            b.respond = fail
             mesh.targets['c'].state = 'draining'
             await mesh.targets['c'].send_heartbeat(mesh.client)
             return [await mesh.call('a', '/deep/x') for _ in range(6)]
 
         targets = ('a:front', 'b:deep', 'c:deep')
         responses = self.run_mesh(scenario, targets=targets)
-        self.assertEqual({(500, b'its own words')}, {(r.status, r.body) for r in responses})
+        self.assertEqual({(500, b'error of the target')}, {(r.status, r.body) for r in responses})
--- a/tests/test_mesh_daemon.py
+++ b/tests/test_mesh_daemon.py
@@ -16,39 +16,40 @@
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         self.path = Path(folder.name) / 'node.json'
-        self.write(build_node_file())
+        self.write_file(build_node_file())
 
-    def write(self, value):
+    def write_file(self, value):
         self.path.write_text(value if isinstance(value, str) else json.dumps(value))
 
-    def node(self):
+    def build_node(self):
         settings = load_settings(str(self.path)).unwrap()
         return MeshNode(settings, build_environment(), build_logger())
 
-    def test_a_changed_file_is_taken_up(self):
-        node = self.node()
-        self.write(build_node_file(bounds={**build_node_file()['bounds'], 'grace': '9s'}))
+    def test_a_changed_file_is_applied(self):
+        node = self.build_node()
+        self.write_file(build_node_file(bounds={**build_node_file()['bounds'], 'grace': '9s'}))
         reload_settings(node, str(self.path))
         self.assertEqual(9.0, node.settings.limits.grace_seconds)
 
-    def test_a_file_that_is_being_written_changes_nothing(self):
-        # The file is cut short for a moment, or gone: the node goes on with what it has.
-        node = self.node()
-        self.write(json.dumps(build_node_file())[:90])
+    def test_an_incomplete_or_missing_file_changes_nothing(self):
+        # While the file is written it is incomplete or missing for a moment; the node keeps its
+        # current settings.
+        node = self.build_node()
+        self.write_file(json.dumps(build_node_file())[:90])
         reload_settings(node, str(self.path))
         self.path.unlink()
         reload_settings(node, str(self.path))
         self.assertEqual(6.0, node.settings.limits.grace_seconds)
 
-    def test_the_check_names_what_is_wrong_in_one_line(self):
+    def test_the_check_reports_an_invalid_setting_in_one_line(self):
         env = build_environment()
         self.assertEqual(0, program(['--node-file', str(self.path), '--check'], env))
-        self.write(build_node_file(appAddress='nowhere'))
-        status = program(['--check'], build_environment_of(env, self.path))
+        self.write_file(build_node_file(appAddress='nowhere'))
+        status = program(['--check'], set_node_file(env, self.path))
         self.assertEqual(2, status)
         self.assertEqual(1, len(env.stderr.getvalue().splitlines()))
 
 
-def build_environment_of(env, path):
+def set_node_file(env, path):
     env.environ = {'DUNLINSADDLE_NODE_FILE': str(path)}
     return env
--- a/tests/test_mesh_failures.py
+++ b/tests/test_mesh_failures.py
@@ -1,32 +1,30 @@
-"""Targets and nodes that fail, as callers of whole nodes see it."""
-
+"""Failures of targets and nodes, as callers see them."""
 import asyncio
-
 from dunlinsaddle.calls.http import HttpLimits, HttpResponse
 from dunlinsaddle.calls.listener import HttpListener
 from tests.mesh_case import MeshTest
 
 
 class FailureTest(MeshTest):
-    def test_an_unsigned_success_never_reaches_the_caller(self):
-        # The target's bytes were spoiled: an idempotent request goes to the other target,
-        # the caller sees a whole answer.
+    def test_an_unsigned_successful_response_is_not_passed_to_the_caller(self):
+        # The response was corrupted. An idempotent request is sent to the other target, and the
+        # caller gets a complete response.
         async def scenario(mesh):
-            async def spoiled(req):
-                return HttpResponse(200, [], b'spoiled')
+            async def respond_corrupted(req):
+                return HttpResponse(200, [], b'corrupted')
 
-            mesh.targets['b'].respond = spoiled
+            mesh.targets['b'].respond = respond_corrupted
             return {(await mesh.call('a', '/deep/x')).body for _ in range(6)}
 
         self.assertEqual({b'ok'}, self.run_mesh(scenario, targets=('a:front', 'b:deep', 'c:deep')))
 
-    def test_a_request_that_is_not_idempotent_goes_to_one_target_only(self):
+    def test_a_request_that_is_not_idempotent_is_sent_to_one_target_only(self):
         async def scenario(mesh):
-            async def spoiled(req):
-                return HttpResponse(200, [], b'spoiled')
+            async def respond_corrupted(req):
+                return HttpResponse(200, [], b'corrupted')
 
             for name in 'bc':
-                mesh.targets[name].respond = spoiled
+                mesh.targets[name].respond = respond_corrupted
             statuses = {(await mesh.call('a', '/deep/x', 'POST')).status for _ in range(10)}
             runs = mesh.targets['b'].runs + mesh.targets['c'].runs
             return statuses, max(runs.values())
@@ -34,26 +32,26 @@
         targets = ('a:front', 'b:deep', 'c:deep')
         self.assertEqual(({502}, 1), self.run_mesh(scenario, targets=targets, kind='unsafe'))
 
-    def test_what_a_target_says_it_did_not_run_is_sent_to_another_one(self):
+    def test_a_request_that_a_target_did_not_execute_is_sent_to_another_target(self):
         async def scenario(mesh):
-            async def full(req):
+            async def refuse(req):
                 return HttpResponse(503, [(b'not-executed', b'1')], b'')
 
-            mesh.targets['b'].respond = full
+            mesh.targets['b'].respond = refuse
             return {(await mesh.call('a', '/deep/x', 'POST')).status for _ in range(10)}
 
         targets = ('a:front', 'b:deep', 'c:deep')
         self.assertEqual({200}, self.run_mesh(scenario, targets=targets, kind='unsafe'))
 
-    def test_calls_leave_a_target_that_turns_them_away(self):
-        # Each call that a target turns away costs a try out of a budget that all nodes share,
-        # and the second one may be lost as well. By its load the target is the idlest of all:
-        # 30 of 60 calls went there first.
+    def test_a_target_that_refuses_calls_gets_fewer_of_them(self):
+        # Each refused call uses up a retry of a budget that all nodes share, and the retry may
+        # fail too. A target that refuses calls has the lowest load: without a penalty, 30 of 60
+        # calls were sent to it first.
         async def scenario(mesh):
-            async def full(req):
+            async def refuse(req):
                 return HttpResponse(503, [(b'not-executed', b'1')], b'')
 
-            mesh.targets['b'].respond = full
+            mesh.targets['b'].respond = refuse
             for target in mesh.targets.values():
                 target.response_seconds = 0.05
             for _ in range(6):
@@ -63,44 +61,43 @@
         arrivals = self.run_mesh(scenario, targets=('a:front', 'b:deep', 'c:deep'))
         self.assertLess(arrivals, 24)
 
-    def sends_until_answered(self, spoilt: HttpResponse, times: int, **terms):
-        """Let targets answer so often with ``spoilt``; gives the status and the sends to each."""
+    def sends_until_success(self, failure: HttpResponse, times: int, **route_options):
+        """Respond with ``failure`` to the first sends; return the status and sends by target."""
 
         async def scenario(mesh):
-            async def script(req):
+            async def respond(req):
                 target = next(t for t in mesh.targets.values() if req in t.requests)
                 runs = sum(t.runs[req.header(b'request-id')] for t in mesh.targets.values())
-                return spoilt if runs <= times else target.signed_response(req)
+                return failure if runs <= times else target.signed_response(req)
 
             for name in 'bcd':
-                mesh.targets[name].respond = script
-            method = 'POST' if terms.get('kind') == 'unsafe' else 'GET'
+                mesh.targets[name].respond = respond
+            method = 'POST' if route_options.get('kind') == 'unsafe' else 'GET'
             response = await mesh.call('a', '/deep/x', method)
             return response.status, [len(mesh.targets[name].requests) for name in 'bcd']
 
         targets = ('a:front', 'b:deep', 'c:deep', 'd:deep')
-        return self.run_mesh(scenario, targets=targets, **terms)
-
-    def test_a_call_that_is_turned_away_unrun_is_tried_again_where_it_was(self):
-        # All targets of a service turn away part of what arrives, while their health checks
-        # are good. Its route allows two targets for each call, and those refuse it: the caller
-        # is failed, though a third send to one of them is as good as the first.
-        turned_away = HttpResponse(503, [(b'not-executed', b'1')], b'')
-        status, arrivals = self.sends_until_answered(turned_away, 3, kind='unsafe')
+        return self.run_mesh(scenario, targets=targets, **route_options)
+
+    def test_a_refused_call_is_sent_again_to_a_target_that_refused_it(self):
+        # All targets of a service refuse part of the calls although they are healthy. The route
+        # allows two targets per call. If both refuse it, a third send to one of them is as likely
+        # to succeed as the first.
+        refusal = HttpResponse(503, [(b'not-executed', b'1')], b'')
+        status, arrivals = self.sends_until_success(refusal, 3, kind='unsafe')
         self.assertEqual((200, 4), (status, sum(arrivals)))
         self.assertEqual(1, arrivals.count(0))
 
-    def test_a_lookup_whose_answers_are_lost_is_answered_at_the_third_send(self):
-        # Targets run the request and reset the connection, two in ten times one after the
-        # other. Its route allows two targets: the caller of a lookup is failed, though a third
-        # send, to one of the two, is answered.
-        status, arrivals = self.sends_until_answered(HttpResponse(200, [], b'spoiled'), 2)
+    def test_an_idempotent_request_whose_responses_are_lost_succeeds_at_the_third_send(self):
+        # Targets run the request and reset the connection, in two of ten cases twice in a row. The
+        # route allows two targets, and a third send to one of them succeeds.
+        status, arrivals = self.sends_until_success(HttpResponse(200, [], b'corrupted'), 2)
         self.assertEqual((200, 3), (status, sum(arrivals)))
         self.assertEqual(1, arrivals.count(0))
 
-    def test_another_incarnation_at_the_address_does_not_run_the_request(self):
-        # The target has gone and another one got its address before the node has heard: it
-        # answers 421, and the caller is told that nothing ran.
+    def test_a_request_is_not_run_by_another_incarnation_at_the_same_address(self):
+        # The target terminated and another one got its address before the node noticed: it responds
+        # with 421, and the caller learns that the request did not run.
         async def scenario(mesh):
             b = mesh.targets['b']
             b.heartbeats_enabled = False
@@ -110,7 +107,7 @@
 
         self.assertEqual((503, 0), self.run_mesh(scenario))
 
-    def test_the_work_ends_when_the_caller_has_gone(self):
+    def test_a_request_is_cancelled_at_the_target_when_its_caller_disconnects(self):
         async def scenario(mesh):
             mesh.targets['b'].response_seconds = 0.7
             call = asyncio.create_task(mesh.call('a', '/deep/x'))
@@ -121,18 +118,18 @@
 
         self.assertEqual(1, self.run_mesh(scenario))
 
-    def test_a_request_that_kills_its_target_is_stopped_over_all_nodes(self):
-        # Each target that runs it dies, and is back after two seconds. Its caller sends it
-        # again with a new id, by any node. Two deaths are enough for all nodes to know it;
-        # other requests are served all the while by whoever lives.
-        deaths = []
+    def test_a_request_that_crashes_targets_is_quarantined_on_all_nodes(self):
+        # Each target that runs the request crashes and is back after two seconds. The caller sends
+        # it again with a new id, through any node. Two crashes are enough for all nodes to refuse
+        # it, and the remaining targets serve other requests meanwhile.
+        crashed_targets = []
 
         async def scenario(mesh):
-            def deadly(target):
+            def crash_on_kill(target):
                 async def run(req):
                     if not req.path.endswith('kill'):
                         return target.signed_response(req)
-                    deaths.append(target)
+                    crashed_targets.append(target)
                     target.listener.close()
                     await asyncio.sleep(2.0)
                     target.listener = HttpListener(target.handle, HttpLimits())
@@ -142,23 +139,23 @@
                 return run
 
             for name in 'bcd':
-                mesh.targets[name].respond = deadly(mesh.targets[name])
-            killed, others = [], []
+                mesh.targets[name].respond = crash_on_kill(mesh.targets[name])
+            kill_statuses, other_statuses = [], []
             for turn in range(24):
-                entry = 'abcd'[turn % 4]
-                killed.append((await mesh.call(entry, '/deep/kill')).status)
-                others.append((await mesh.call(entry, f'/deep/{turn}')).status)
+                ingress = 'abcd'[turn % 4]
+                kill_statuses.append((await mesh.call(ingress, '/deep/kill')).status)
+                other_statuses.append((await mesh.call(ingress, f'/deep/{turn}')).status)
                 await asyncio.sleep(0.5)
-            return killed[-1], others.count(200)
+            return kill_statuses[-1], other_statuses.count(200)
 
         targets = ('a:front', 'b:deep', 'c:deep', 'd:deep')
         last, served = self.run_mesh(scenario, targets=targets, attempts=2)
-        self.assertEqual((422, True), (last, len(deaths) <= 3))
+        self.assertEqual((422, True), (last, len(crashed_targets) <= 3))
         self.assertGreaterEqual(served, 22)
 
-    def test_calls_leave_a_frozen_node_within_seconds(self):
-        # A node stands still with its connections open: calls given to it get no answer, and
-        # those that may be repeated would wait for their deadline, one after the other.
+    def test_a_frozen_node_gets_no_calls_after_a_few_seconds(self):
+        # A node hangs with its connections open. Calls sent to it get no response, and idempotent
+        # ones would all wait for their deadline.
         async def scenario(mesh):
             async def hang(call):
                 await asyncio.sleep(60)
--- a/tests/test_mesh_heartbeats.py
+++ b/tests/test_mesh_heartbeats.py
@@ -1,12 +1,12 @@
-"""What a target announces, and what its node makes of it."""
+"""Heartbeats of a target, and how its node and other nodes act on them."""
 
 import asyncio
 
 from tests.mesh_case import MeshTest
 
 
-class AnnounceTest(MeshTest):
-    def test_a_draining_target_gets_nothing_new(self):
+class HeartbeatTest(MeshTest):
+    def test_a_draining_target_gets_no_new_requests(self):
         async def scenario(mesh):
             b = mesh.targets['b']
             b.state = 'draining'
@@ -16,9 +16,9 @@
 
         self.assertEqual((200, 503, 0), self.run_mesh(scenario))
 
-    def test_an_acknowledgement_binds_also_while_the_store_is_away(self):
-        # A target is told that its leaving is known, and is then given a request. The store
-        # was away at that moment: what the node has acknowledged must not depend on it.
+    def test_an_acknowledged_drain_notice_holds_while_the_store_is_down(self):
+        # The node must keep an acknowledged drain notice without the help of the store. Otherwise
+        # the target gets a request although its drain notice was acknowledged.
         async def scenario(mesh):
             mesh.store.down = True
             b = mesh.targets['b']
@@ -32,8 +32,8 @@
 
         self.assertEqual((200, 503, 503, 0), self.run_mesh(scenario))
 
-    def test_an_outage_of_the_store_alone_loses_nothing(self):
-        # Callers notice nothing: members and configuration that are known hold without it.
+    def test_requests_are_served_during_an_outage_of_the_store(self):
+        # Nodes keep the members and the configuration that they know.
         async def scenario(mesh):
             mesh.store.down = True
             statuses = []
@@ -44,13 +44,13 @@
 
         self.assertEqual({200}, self.run_mesh(scenario))
 
-    def test_heartbeats_that_name_another_target_or_cannot_be_read_change_nothing(self):
+    def test_heartbeats_of_another_target_and_invalid_heartbeats_are_rejected(self):
         async def scenario(mesh):
             b = mesh.targets['b']
             b.heartbeats_enabled = False
             statuses = [
-                await b.send_heartbeat(mesh.client, **wrong)
-                for wrong in (
+                await b.send_heartbeat(mesh.client, **fields)
+                for fields in (
                     {'service': 'other', 'state': 'draining'},
                     {'address': '127.0.0.1:1', 'state': 'draining'},
                     {'state': 'asleep'},
@@ -62,9 +62,9 @@
 
         self.assertEqual(([400] * 5, 200), self.run_mesh(scenario))
 
-    def test_a_late_heartbeat_of_an_earlier_start_is_not_taken(self):
-        # The target crashed behind a cut and started again under the same id. A heartbeat of
-        # its first start arrives late and says that it drains: the second one must serve on.
+    def test_a_delayed_heartbeat_of_a_previous_incarnation_is_ignored(self):
+        # The target crashed during a network partition and restarted under the same id. A delayed
+        # heartbeat of the first incarnation says that it drains: the second must keep serving.
         async def scenario(mesh):
             b = mesh.targets['b']
             b.heartbeats_enabled = False
@@ -75,7 +75,7 @@
 
         self.assertEqual(200, self.run_mesh(scenario))
 
-    def test_a_target_that_started_again_under_its_id_serves_at_once(self):
+    def test_a_target_that_restarted_under_the_same_id_serves_at_once(self):
         async def scenario(mesh):
             b = mesh.targets['b']
             b.heartbeats_enabled = False
