--- a/dunlinsaddle/access/freshness.py
+++ b/dunlinsaddle/access/configuration_lease.py
@@ -7,10 +7,10 @@
 #: Share of the time within which a key that was taken away must be refused everywhere, after
 #: which a node without a new proof lets nobody in by a key. The rest covers clocks that run
 #: unlike, and a store whose watches hear nothing for a second while it drops its history.
-USED_SHARE = 0.75
+EXPIRY_FRACTION = 0.75
 
 
-class Freshness:
+class ConfigurationLease:
     """A lease on a node's configuration: it lapses unless a new proof comes in time.
 
     Failure: a key is taken away while a node is cut off from everything; its callers go on, and
@@ -19,44 +19,47 @@
     configuration than the one held here. It is as old as the question that it answers, on a clock
     that also counts the time for which the machine was suspended.
 
-    ``most`` is the time in seconds within which a key that was taken away must be refused
-    everywhere, None where nothing binds.
+    ``max_revocation_seconds`` is the time within which a revoked key must be refused
+    everywhere, None for no limit.
     """
 
-    def __init__(self, clock: Callable[[], float], most: float | None) -> None:
+    def __init__(self, clock: Callable[[], float], max_revocation_seconds: float | None) -> None:
         self.clock = clock
-        self.most = most
-        self.proved_at = -math.inf  #: the latest moment at which nothing newer was there
+        self.max_revocation_seconds = max_revocation_seconds
+        self.confirmed_at = -math.inf  #: the latest moment at which nothing newer was there
         self._waiting: set[asyncio.Future[None]] = set()
 
     @property
     def age(self) -> float:
         """Give the seconds since that moment; infinite before the first proof."""
-        return self.clock() - self.proved_at
+        return self.clock() - self.confirmed_at
 
     @property
-    def lapsed(self) -> bool:
+    def expired(self) -> bool:
         """Whether keys may have been taken away that this node still takes for good."""
-        return self.most is not None and self.age >= USED_SHARE * self.most
+        return (
+            self.max_revocation_seconds is not None
+            and self.age >= EXPIRY_FRACTION * self.max_revocation_seconds
+        )
 
-    def prove(self, moment: float) -> None:
+    def renew(self, as_of: float) -> None:
         """Note that at a moment of the clock nothing newer was there."""
-        if moment <= self.proved_at:
+        if as_of <= self.confirmed_at:
             return
-        self.proved_at = moment
-        self.wake()
+        self.confirmed_at = as_of
+        self.notify_waiters()
 
-    def wake(self) -> None:
+    def notify_waiters(self) -> None:
         """Let who waits look again, as there is a proof or a newer configuration."""
         for fut in self._waiting:
             if not fut.done():
                 fut.set_result(None)
 
-    async def wait_until(self, done: Callable[[], bool], patience: float) -> None:
+    async def wait_for(self, predicate: Callable[[], bool], timeout: float) -> None:
         """Wait for something that a proof or a newer configuration may bring, not for longer."""
         loop = asyncio.get_running_loop()
-        until = loop.time() + patience
-        while not done():
+        until = loop.time() + timeout
+        while not predicate():
             fut: asyncio.Future[None] = loop.create_future()
             self._waiting.add(fut)
             try:
--- a/dunlinsaddle/access/questions.py
+++ b/dunlinsaddle/access/lender_client.py
@@ -12,31 +12,33 @@
 
 #: Seconds after which a question is sent once more: datagrams get lost, and an answer takes some
 #: milliseconds.
-AGAIN_SECONDS = 0.06
-SILENT_SECONDS = 1.0  #: after the latest question, from which a silence says nothing any more
-PROBE_SECONDS = 0.25  #: between two looks whether a silent lender is back
-PROBE_PATIENCE = 0.25  #: seconds for its answer
+RESEND_SECONDS = 0.06
+SILENCE_VALID_SECONDS = (
+    1.0  #: after the latest question, from which a silence says nothing any more
+)
+PROBE_INTERVAL_SECONDS = 0.25  #: between two looks whether a silent lender is back
+PROBE_TIMEOUT_SECONDS = 0.25  #: seconds for its answer
 
 
-class Peers(Protocol):
+class QuotaPeers(Protocol):
     """The other nodes, as quotas need them."""
 
-    def present(self) -> tuple[list[str], float]:
+    def live_nodes(self) -> tuple[list[str], float]:
         """Give the nodes that are not gone, and what share of all are surely in touch."""
 
-    def head(self) -> dict[str, Any]:
+    def message_header(self) -> dict[str, Any]:
         """Give the fields of a message that say who sends it."""
 
     def send(self, instance: str, message: QuotaMessage) -> None:
         """Send a datagram, which may get lost."""
 
 
-class Questions(OnLoop):
+class LenderClient(OnLoop):
     """Asks, and remembers since when who has left questions unanswered."""
 
-    def __init__(self, peers: Peers) -> None:
+    def __init__(self, peers: QuotaPeers) -> None:
         self.peers = peers
-        self.count = 0
+        self.queries_sent = 0
         self._numbers = secrets.randbits(48)  #: so that a restarted node asks no old question
         self._open: dict[int, asyncio.Future[QuotaAnswer | None]] = {}
         self._asked_at: dict[str, float] = {}
@@ -44,19 +46,19 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def ask(
-        self, lender: str, organisation: str, patience: float, *, relayed: bool = False
+        self, lender: str, organisation: str, timeout: float, *, relayed: bool = False
     ) -> QuotaDecision | None:
-        """Ask a lender; None when it is silent for ``patience`` seconds, or does not lend this."""
+        """Ask a lender; None when it is silent for ``timeout`` seconds, or does not lend this."""
         self._numbers += 1
         number = self._numbers
-        head = self.peers.head()
-        ask = QuotaAsk(**head, number=number, organisation=organisation, relayed=relayed)
+        message_header = self.peers.message_header()
+        ask = QuotaAsk(**message_header, number=number, organisation=organisation, relayed=relayed)
         fut: asyncio.Future[QuotaAnswer | None] = self.loop.create_future()
         self._open[number] = fut
         self._note_asked(lender)
         self.peers.send(lender, ask)
-        again = self.loop.call_later(AGAIN_SECONDS, self.peers.send, lender, ask)
-        end = self.loop.call_later(patience, _give_up, fut)
+        again = self.loop.call_later(RESEND_SECONDS, self.peers.send, lender, ask)
+        end = self.loop.call_later(timeout, _give_up, fut)
         try:
             return _verdict_of(await fut)
         finally:
@@ -64,28 +66,28 @@
             end.cancel()
             self._open.pop(number, None)
 
-    def answered(self, answer: QuotaAnswer) -> None:
+    def handle_answer(self, answer: QuotaAnswer) -> None:
         """Take an answer; one that comes too late belongs to nobody."""
         fut = self._open.pop(answer.number, None)
         if fut is not None and not fut.done():
             fut.set_result(answer)
 
-    def heard(self, instance: str) -> None:
+    def mark_alive(self, instance: str) -> None:
         """Note a sign of life."""
         self._unanswered.pop(instance, None)
 
-    def silence(self, instance: str) -> float:
+    def silent_seconds(self, instance: str) -> float:
         """Give for how many seconds a node has left questions unanswered."""
         now = self.now()
         return now - self._unanswered.get(instance, now)
 
-    def asked_lately(self, instance: str) -> bool:
+    def was_asked_recently(self, instance: str) -> bool:
         """Say whether what is known of a node's silence still holds."""
-        return self._since_asked(instance) < SILENT_SECONDS
+        return self._since_asked(instance) < SILENCE_VALID_SECONDS
 
     def probe(self, instance: str) -> None:
         """Look whether a silent node is back, without waiting for it."""
-        if self._since_asked(instance) >= PROBE_SECONDS:
+        if self._since_asked(instance) >= PROBE_INTERVAL_SECONDS:
             self.spawn(self._look(instance))
 
     def spawn(self, coro: Coroutine[Any, Any, None]) -> None:
@@ -95,12 +97,12 @@
         task.add_done_callback(self._tasks.discard)
 
     async def _look(self, instance: str) -> None:
-        await self.ask(instance, '', PROBE_PATIENCE, relayed=True)
+        await self.ask(instance, '', PROBE_TIMEOUT_SECONDS, relayed=True)
 
     def _note_asked(self, lender: str) -> None:
         now = self.now()
-        self.count += 1
-        if not self.asked_lately(lender):
+        self.queries_sent += 1
+        if not self.was_asked_recently(lender):
             # What was lost long ago says nothing.
             self._unanswered.pop(lender, None)
         self._asked_at[lender] = now
@@ -110,14 +112,18 @@
         return self.now() - self._asked_at.get(instance, -math.inf)
 
 
-def answer_of(ask: QuotaAsk, verdict: QuotaDecision | None, head: dict[str, Any]) -> QuotaAnswer:
+def build_answer(
+    ask: QuotaAsk, verdict: QuotaDecision | None, message_header: dict[str, Any]
+) -> QuotaAnswer:
     """Give the answer to a question; without a verdict that this node does not lend the quota."""
     match verdict:
         case Granted():
-            return QuotaAnswer(**head, number=ask.number, standing=Standing.LENT)
+            return QuotaAnswer(**message_header, number=ask.number, standing=Standing.LENT)
         case RetryLater(seconds):
-            return QuotaAnswer(**head, number=ask.number, standing=Standing.LATER, wait=seconds)
-    return QuotaAnswer(**head, number=ask.number, standing=Standing.NOT_MINE)
+            return QuotaAnswer(
+                **message_header, number=ask.number, standing=Standing.LATER, wait=seconds
+            )
+    return QuotaAnswer(**message_header, number=ask.number, standing=Standing.NOT_MINE)
 
 
 def _verdict_of(answer: QuotaAnswer | None) -> QuotaDecision | None:
--- a/dunlinsaddle/mesh/ingress.py
+++ b/dunlinsaddle/mesh/ingress.py
@@ -3,8 +3,8 @@
 import math
 import uuid6
 from collections.abc import Callable
-from dunlinsaddle.access.gate import Gate, Holder, rank_of
-from dunlinsaddle.access.quotas import Quotas
+from dunlinsaddle.access.authentication import Authenticator, CallerOrganisation, effective_rank
+from dunlinsaddle.access.quotas import QuotaCoordinator
 from dunlinsaddle.calls.call_state import PendingCall, RunningCall, RunningCalls, WaitTime
 from dunlinsaddle.calls.decisions import DecisionLog
 from dunlinsaddle.calls.dispatch import Dispatcher
@@ -21,7 +21,7 @@
 from dunlinsaddle.policy.request_costs import RequestCosts
 from dunlinsaddle.policy.retry_budget import RetryBudget
 from dunlinsaddle.records.models import Rank
-from dunlinsaddle.routes.follow import ConfigFollower
+from dunlinsaddle.routes.config_follower import ConfigFollower
 from dunlinsaddle.routes.models import Route
 from dunlinsaddle.routes.table import choose_service
 from random import Random
@@ -44,7 +44,7 @@
     def __init__(
         self,
         follower: ConfigFollower,
-        gate: Gate,
+        authenticator: Authenticator,
         dispatcher: Dispatcher,
         budget: RetryBudget,
         service: str,
@@ -52,12 +52,12 @@
         rng: Random,
         decisions: DecisionLog,
         on_end: Callable[[PendingCall, Reply, float], None],
-        quotas: Quotas,
+        quotas: QuotaCoordinator,
     ) -> None:
         self.quotas = quotas
         self.decisions = decisions
         self.follower = follower
-        self.gate = gate
+        self.authenticator = authenticator
         self.dispatcher = dispatcher
         self.budget = budget
         self.service = service
@@ -70,13 +70,13 @@
     async def handle(self, req: HttpRequest) -> HttpResponse:
         """Route one request and return its response."""
         terms = read_terms(req)
-        settled = await self.gate.settle(terms)
+        key_status_known = await self.authenticator.wait_for_key_status(terms)
         table = self.follower.table
         if table is None:
             return _refusal_response(
                 terms, ErrorKind.NO_CONFIGURATION, NO_CONFIGURATION_RETRY_SECONDS
             )
-        route = table.find(req.header(b'host'), req.path)
+        route = table.find_route(req.header(b'host'), req.path)
         version = table.configuration.version
         if route is None:
             host = req.header(b'host')
@@ -85,12 +85,14 @@
         loop = self.loop
         started_at = loop.time()
         parent = self.running.find_parent(terms.request_id)
-        match self.gate.holder_of(terms, table, route, parent, settled=settled):
+        match self.authenticator.authenticate(
+            terms, table, route, parent, key_status_known=key_status_known
+        ):
             case Err(failure):
                 self._log_denied(terms.request_id, route.name, failure)
                 return _failure_response(terms, failure)
             case Ok(holder):
-                requires_key = table.wants_keys
+                requires_key = table.requires_keys
                 call = self._build_call(
                     req, terms, route, parent, holder, requires_key=requires_key
                 )
@@ -114,7 +116,7 @@
         return caller_response(reply, terms.request_id)
 
     async def _dispatch(
-        self, call: PendingCall, parent: RunningCall | None, holder: Holder
+        self, call: PendingCall, parent: RunningCall | None, holder: CallerOrganisation
     ) -> Reply:
         """Dispatch a request or a call of the local target, and return the reply."""
         if parent is not None:
@@ -128,14 +130,14 @@
         early_refusal = self.dispatcher.find_early_refusal(call)
         if early_refusal is not None:
             return early_refusal
-        match await self.quotas.take(holder):
+        match await self.quotas.acquire(holder):
             case Err(failure):
                 self._log_denied(call.ctx.request_id, rule, failure, call.ctx.organisation)
                 return refusal(failure)
             case Ok(lease):
                 reply = await self.dispatcher.send(call)
         if reply.outcome is Outcome.NOT_RUN:
-            self.quotas.give_back(lease)
+            self.quotas.refund(lease)
         else:
             self.outcomes.record_end(self.now(), rule, failed=bool(reply.cause))
         return reply
@@ -143,7 +145,7 @@
     def _log_denied(
         self, request_id: str, rule: str, failure: Failure, organisation: str = ''
     ) -> None:
-        version, age = self.follower.version, self.gate.freshness.age
+        version, age = self.follower.version, self.authenticator.configuration_lease.age
         self.decisions.log_denied(request_id, rule, failure, version, age, organisation)
 
     def _record_cost(self, call: PendingCall, load: Load, parent: RunningCall | None) -> None:
@@ -159,17 +161,17 @@
         terms: CallerTerms,
         route: Route,
         parent: RunningCall | None,
-        holder: Holder,
+        holder: CallerOrganisation,
         *,
         requires_key: bool,
     ) -> PendingCall:
         now = self.now()
         time_left = DEFAULT_TIMEOUT_SECONDS if terms.time_left is None else terms.time_left
         timeout = math.inf if route.timeout is None else route.timeout
-        service = choose_service(route.shares, self.rng)
+        service = choose_service(route.weighted_services, self.rng)
         request_id = terms.request_id or str(uuid6.uuid7())
         if parent is None:
-            priority = priority_of(rank_of(route, holder), request_id)
+            priority = priority_of(effective_rank(route, holder), request_id)
             priority = self.costs.adjust_priority(now, route.name, priority)
         else:
             # A call has the priority of its parent request, as the ingress compares parent requests
@@ -189,13 +191,15 @@
             idempotent=route.idempotent,
             key='',
             fingerprint=request_fingerprint(req, service),
-            useful_until=math.inf if route.objective is None else now + route.objective,
+            useful_until=math.inf
+            if route.latency_objective is None
+            else now + route.latency_objective,
             organisation=holder.name if holder else '',
         )
         if parent is not None:
             ctx = _inherit(ctx, parent.call.ctx)
         headers = travelling_headers(req, self.service, keyed=requires_key)
-        allowance = AttemptAllowance(route.attempts - 1)
+        allowance = AttemptAllowance(route.max_attempts - 1)
         return PendingCall(ctx, req.method, req.path, headers, req.body, allowance, WaitTime(), [])
 
 
--- a/dunlinsaddle/mesh/metrics.py
+++ b/dunlinsaddle/mesh/metrics.py
@@ -3,17 +3,11 @@
 Histograms are plain counters with the label ``le``, read at each scrape: recording each call with
 an instrument took 17 us, a tenth of the time that a node spends on a call.
 """
-
 import asyncio
 import math
 from collections import Counter
-from typing import Protocol
-
-from opentelemetry.exporter.prometheus import PrometheusMetricReader
-from prometheus_client import CollectorRegistry, generate_latest
-
-from dunlinsaddle.access.freshness import Freshness
-from dunlinsaddle.access.quotas import Quotas
+from dunlinsaddle.access.configuration_lease import ConfigurationLease
+from dunlinsaddle.access.quotas import QuotaCoordinator
 from dunlinsaddle.calls.http import HttpRequest, HttpResponse, failure_response
 from dunlinsaddle.errors import ErrorKind, Failure
 from dunlinsaddle.membership.view import MemberView
@@ -26,8 +20,11 @@
 from dunlinsaddle.policy.quota import QuotaLedger
 from dunlinsaddle.policy.retry_budget import RetryBudget
 from dunlinsaddle.policy.slots import SlotAdmission
-from dunlinsaddle.routes.follow import ConfigFollower
+from dunlinsaddle.routes.config_follower import ConfigFollower
 from dunlinsaddle.stats import LATENCY_BOUNDS, Stats
+from opentelemetry.exporter.prometheus import PrometheusMetricReader
+from prometheus_client import CollectorRegistry, generate_latest
+from typing import Protocol
 
 MAX_AGE_SECONDS = 86_400.0  #: upper bound of reported ages, as a gauge cannot be infinite
 #: Organisations in one metric; with a label for each, the metric would grow with the customers.
@@ -47,10 +44,10 @@
     follower: ConfigFollower
     heartbeat_endpoint: HeartbeatEndpoint
     store: ObjectStore
-    freshness: Freshness
+    configuration_lease: ConfigurationLease
     ledger: QuotaLedger
     target_status: TargetStatus
-    quotas: Quotas
+    quotas: QuotaCoordinator
 
 
 class MeshMetrics:
@@ -115,13 +112,13 @@
             'dunlinsaddle.configuration_revision',
             '1',
             'Revision of the store up to which this node has all changes of the configuration.',
-            lambda: [(place_of(node.follower.known_to).revision, {})],
+            lambda: [(place_of(node.follower.store_version).revision, {})],
         )
         metrics.gauge(
             'dunlinsaddle.store_epoch',
             '1',
             'Epoch of that revision; increases each time the store is restored from a copy.',
-            lambda: [(place_of(node.follower.known_to).epoch, {})],
+            lambda: [(place_of(node.follower.store_version).epoch, {})],
         )
         metrics.gauge(
             'dunlinsaddle.members',
@@ -173,7 +170,7 @@
             'dunlinsaddle.configuration_age',
             's',
             'Seconds since it was confirmed that no newer configuration exists.',
-            lambda: [(min(node.freshness.age, MAX_AGE_SECONDS), {})],
+            lambda: [(min(node.configuration_lease.age, MAX_AGE_SECONDS), {})],
         )
         metrics.gauge(
             'dunlinsaddle.quota_left',
@@ -185,7 +182,7 @@
             'dunlinsaddle.quota_questions',
             '{message}',
             'Requests to the nodes that lend quotas.',
-            lambda: [(node.quotas.questions.count, {})],
+            lambda: [(node.quotas.lender_client.queries_sent, {})],
         )
 
     def _load(self) -> Values:
--- a/dunlinsaddle/mesh/node.py
+++ b/dunlinsaddle/mesh/node.py
@@ -3,10 +3,10 @@
 import contextlib
 import logging
 from collections.abc import Callable, Coroutine
-from dunlinsaddle.access.freshness import Freshness
-from dunlinsaddle.access.gate import Gate
+from dunlinsaddle.access.authentication import Authenticator
+from dunlinsaddle.access.configuration_lease import ConfigurationLease
 from dunlinsaddle.access.peers import GossipPeers
-from dunlinsaddle.access.quotas import Quotas
+from dunlinsaddle.access.quotas import QuotaCoordinator
 from dunlinsaddle.calls.call_state import PendingCall, RunningCalls, read_call_frame
 from dunlinsaddle.calls.client import HttpClient
 from dunlinsaddle.calls.crash_notifier import CrashNotifier
@@ -43,9 +43,9 @@
 from dunlinsaddle.policy.retry_budget import RetryBudget
 from dunlinsaddle.policy.route import Router
 from dunlinsaddle.policy.slots import SlotAdmission
-from dunlinsaddle.routes.follow import ConfigFollower
+from dunlinsaddle.routes.config_follower import ConfigFollower
+from dunlinsaddle.routes.lease_renewal import LeaseRenewer
 from dunlinsaddle.routes.models import Configuration
-from dunlinsaddle.routes.proofs import ProofAsker
 from dunlinsaddle.settings import Address
 from dunlinsaddle.stats import CallLabel, Hop, Stats
 from functools import partial
@@ -132,7 +132,7 @@
         self.agent = GossipAgent(self.view, PEER_KEY, self._new_rng(), times=GOSSIP_TIMES)
         self.links = PeerLinks(PEER_KEY, cfg.instance, limits)
         self.peer_server = PeerServer(PEER_KEY, self._serve_peer, limits, self._on_peer_fault)
-        self.freshness = Freshness(self.env.lease_clock, cfg.limits.revocation_seconds)
+        self.configuration_lease = ConfigurationLease(self.env.lease_clock, cfg.limits.revocation_seconds)
         self.follower = ConfigFollower(
             self.store,
             configuration.KIND,
@@ -140,22 +140,24 @@
             configuration.read_configuration,
             self._new_rng(),
             self.logger,
-            self.freshness,
+            self.configuration_lease,
         )
         self.follower.links = self.links
-        self.follower.peers = self._other_members
+        self.follower.list_peers = self._other_members
         self.follower.on_change = self._on_configuration
-        self.follower.on_return = lambda: self.bootstrap.store_returned()
+        self.follower.on_store_restored = lambda: self.bootstrap.store_returned()
         self.watchers = Watchers(self.view, cfg.domain)
-        self.follower.watches = self._is_watcher
-        self.agent.gossip.on_news = self.follower.hear
+        self.follower.should_watch = self._is_watcher
+        self.agent.gossip.on_news = self.follower.handle_peer_version
         self.ledger = QuotaLedger(
             cfg.limits.quota_slack, cfg.limits.quota_window_seconds, cfg.limits.quota_overage
         )
         peers = GossipPeers(self.agent, self.view, lambda: self.bootstrap.strangers)
-        self.quotas = Quotas(cfg.instance, peers, self.ledger, self.follower.organisation)
-        self.agent.on_quota = self.quotas.hear
-        self.peer_server.on_records = self.follower.answer
+        self.quotas = QuotaCoordinator(
+            cfg.instance, peers, self.ledger, self.follower.find_organisation
+        )
+        self.agent.on_quota = self.quotas.handle_message
+        self.peer_server.on_records = self.follower.answer_peer
         self.crash_notifier = CrashNotifier(
             self.links, self.quarantine, self._other_members, self.logger
         )
@@ -205,7 +207,7 @@
         cfg = self.settings
         self.ingress = IngressHandler(
             self.follower,
-            Gate(self.follower, self.freshness),
+            Authenticator(self.follower, self.configuration_lease),
             self.dispatcher,
             self.budget,
             cfg.service,
@@ -255,8 +257,13 @@
             _run_after(delays.configuration, partial(self.follower.run, membership_known_at))
         )
         self._spawn(self.level_gossip.run())
-        proof_requests = ProofAsker(
-            self.follower, self.freshness, self.view, self.watchers, cfg.instance, self._new_rng()
+        proof_requests = LeaseRenewer(
+            self.follower,
+            self.configuration_lease,
+            self.view,
+            self.watchers,
+            cfg.instance,
+            self._new_rng(),
         )
         self._spawn(proof_requests.run())
         self._spawn(self.agent.run())
@@ -357,7 +364,7 @@
         self.budget.node_count = self.router.sender_count = max(len(self.view), 1)
         if previous is not None and previous.state is member.state:
             return
-        self.quotas.members_change()
+        self.quotas.on_members_change()
         extra = {'member': member.instance, 'state': member.state.name.lower()}
         self.logger.info('member changed', extra={**extra, 'service': member.service})
 
@@ -365,7 +372,7 @@
         """Apply changed deployment limits."""
         self.settings = self.settings._replace(limits=limits)
         self.budget.set_limits(limits.retry_ratio, limits.extra_retries)
-        self.freshness.most = limits.revocation_seconds
+        self.configuration_lease.max_revocation_seconds = limits.revocation_seconds
         self.ledger.slack = limits.quota_slack
         self.ledger.window = limits.quota_window_seconds
         self.ledger.overage = limits.quota_overage
--- a/dunlinsaddle/platform/configuration.py
+++ b/dunlinsaddle/platform/configuration.py
@@ -6,7 +6,7 @@
 from msgspec import Meta
 from result import Err, Ok, Result
 
-from dunlinsaddle.access.keys import digest_of
+from dunlinsaddle.access.keys import key_digest
 from dunlinsaddle.platform.units import read_seconds, read_version
 from dunlinsaddle.routes.models import (
     Configuration,
@@ -14,8 +14,8 @@
     Organisation,
     Quota,
     Route,
-    ServiceSpec,
-    Share,
+    ServiceSettings,
+    WeightedService,
 )
 
 KIND = 'config'
@@ -84,7 +84,7 @@
 
 def _plain(document: _Document) -> Configuration:
     routes: list[Route] = []
-    services: dict[str, ServiceSpec] = {}
+    services: dict[str, ServiceSettings] = {}
     organisations: list[Organisation] = []
     limits = Limits()
     for entry in document.resources:
@@ -94,7 +94,7 @@
                 routes.append(_route(name, msgspec.json.decode(raw, type=_Route)))
             case 'services':
                 spec = msgspec.json.decode(raw, type=_Service)
-                services[name] = ServiceSpec(name, spec.health_path, spec.max_connections)
+                services[name] = ServiceSettings(name, spec.health_path, spec.max_connections)
             case 'tenants':
                 found = msgspec.json.decode(raw, type=_Tenant)
                 organisations.append(_organisation(name, found))
@@ -106,10 +106,12 @@
 
 
 def _route(name: str, found: _Route) -> Route:
-    shares = tuple(Share(part.service, part.weight) for part in found.traffic_split)
+    weighted_services = tuple(
+        WeightedService(part.service, part.weight) for part in found.traffic_split
+    )
     if found.service:
-        shares = (Share(found.service, 1.0),)
-    if not any(share.weight > 0 for share in shares):
+        weighted_services = (WeightedService(found.service, 1.0),)
+    if not any(share.weight > 0 for share in weighted_services):
         raise ValueError(f'route {name} names no service')
     return Route(
         name=name,
@@ -117,10 +119,10 @@
         prefix=found.path_prefix,
         idempotent=found.kind != 'unsafe',
         timeout=read_seconds(found.timeout) if found.timeout else None,
-        objective=read_seconds(found.target_latency) if found.target_latency else None,
-        attempts=found.attempts,
+        latency_objective=read_seconds(found.target_latency) if found.target_latency else None,
+        max_attempts=found.attempts,
         priority=found.priority,
-        shares=shares,
+        weighted_services=weighted_services,
         public=found.public,
     )
 
@@ -128,7 +130,7 @@
 def _organisation(name: str, found: _Tenant) -> Organisation:
     if not name.isascii() or not name.isprintable() or not name.strip():
         raise ValueError(f'not the name of an organisation: {name!r}')
-    keys = frozenset(digest_of(key) for key in found.api_keys)
+    keys = frozenset(key_digest(key) for key in found.api_keys)
     quota = Quota(found.requests_per_s, found.burst) if found.requests_per_s else None
     return Organisation(name, keys, found.priority, quota)
 
@@ -138,8 +140,8 @@
     names = [org.name for org in organisations]
     if len(set(names)) < len(names):
         raise ValueError('two organisations have the same name')
-    if len({key for org in organisations for key in org.keys}) < sum(
-        len(o.keys) for o in organisations
+    if len({key for org in organisations for key in org.key_digests}) < sum(
+        len(o.key_digests) for o in organisations
     ):
         raise ValueError('a key is held by two organisations')
 
--- a/dunlinsaddle/routes/follow.py
+++ b/dunlinsaddle/routes/config_follower.py
@@ -3,58 +3,45 @@
 A few nodes of each failure domain watch the store. Every message of the gossip tells the version
 that its sender holds, and who hears of a newer one fetches it from there.
 """
-
 import asyncio
 import logging
 import math
 from collections.abc import Callable
-from random import Random
-from typing import Any
-
-from result import Err, Ok, Result
-
-from dunlinsaddle.access.freshness import Freshness
+from dunlinsaddle.access.configuration_lease import ConfigurationLease
 from dunlinsaddle.calls.link import PeerLinks
-from dunlinsaddle.calls.messages import (
-    MAX_TIMEOUT_SECONDS,
-    RecordFrame,
-    RecordsRequest,
-    RecordsResponse,
-)
+from dunlinsaddle.calls.messages import MAX_TIMEOUT_SECONDS, RecordFrame, RecordsRequest, RecordsResponse
 from dunlinsaddle.loops import Backoff, OnLoop
 from dunlinsaddle.membership.view import Member
-from dunlinsaddle.platform.store import (
-    JsonValue,
-    Listing,
-    ObjectStore,
-    StoredObject,
-    Unavailable,
-    place_of,
-)
+from dunlinsaddle.platform.store import JsonValue, Listing, ObjectStore, StoredObject, Unavailable, place_of
 from dunlinsaddle.records.models import RecordEntry
 from dunlinsaddle.routes.models import Configuration, Organisation
 from dunlinsaddle.routes.table import RouteTable
+from random import Random
+from result import Err, Ok, Result
+from typing import Any
 
 #: Seconds that one watch waits, and so the longest that a change is missed after the answer to a
 #: watch was lost on an open connection, which nothing else shows. A shorter one costs more calls:
 #: with three watchers in each of five failure domains three a second, of thousands.
-WATCH_SECONDS = 5.0
+WATCH_TIMEOUT_SECONDS = 5.0
 #: Seconds that an answer may take beyond that, at first and at most. A store that does not answer
 #: must not hold up a node that knows nothing: its peers are asked after the first bound. It is
 #: doubled after each call that was not answered in time, so that a slow store is heard, too.
-FIRST_GRACE = 1.0
-MOST_GRACE = 8.0  #: seconds; a store slower than that counts as away
-FIRST_BACKOFF = 0.1  #: seconds; a store that refuses a call is mostly back within a second
-MOST_BACKOFF = 1.0  #: half of the two seconds within which a change has to be in force
-PEER_SECONDS = 0.5  #: for a peer's answer; a round trip between failure domains takes 1 ms
+INITIAL_GRACE_SECONDS = 1.0
+MAX_GRACE_SECONDS = 8.0  #: seconds; a store slower than that counts as away
+INITIAL_BACKOFF_SECONDS = (
+    0.1  #: seconds; a store that refuses a call is mostly back within a second
+)
+MAX_BACKOFF_SECONDS = 1.0  #: half of the two seconds within which a change has to be in force
+PEER_TIMEOUT_SECONDS = 0.5  #: for a peer's answer; a round trip between failure domains takes 1 ms
 #: Seconds between two looks whether it falls to this node to watch. A watcher that dies is
 #: suspected within three seconds; the two others of its domain watch meanwhile.
-TURN_SECONDS = 0.5
+WATCH_CHECK_SECONDS = 0.5
 #: Seconds for which a node without a configuration leaves the store alone. Its peers tell it of
 #: theirs with the first answer to its gossip.
-NEWS_PATIENCE = 1.0
+PEER_CONFIGURATION_WAIT_SECONDS = 1.0
 
-Reader = Callable[[Any], Result[Configuration, str]]
+Decoder = Callable[[Any], Result[Configuration, str]]
 
 
 class ConfigFollower(OnLoop):
@@ -70,25 +57,29 @@
         store: ObjectStore,
         kind: str,
         name: str,
-        read: Reader,
+        decode: Decoder,
         rng: Random,
         logger: logging.Logger,
-        freshness: Freshness,
+        configuration_lease: ConfigurationLease,
     ) -> None:
         self.store = store
         self.kind = kind
         self.name = name
-        self.read = read
+        self.decode = decode
         self.rng = rng
         self.logger = logger
-        self.freshness = freshness
+        self.configuration_lease = configuration_lease
         self.table: RouteTable | None = None
         self.on_change: Callable[[Configuration], None] = lambda configuration: None
-        self.on_return: Callable[[], None] = lambda: None  #: the store has returned from a copy
+        self.on_store_restored: Callable[[], None] = lambda: (
+            None
+        )  #: the store has returned from a copy
         self.links: PeerLinks | None = None
-        self.peers: Callable[[], list[Member]] = list
-        self.watches: Callable[[], bool] = lambda: True  #: whether it falls to this node to watch
-        self.known_to = 0  #: the store's version up to which this node has heard all
+        self.list_peers: Callable[[], list[Member]] = list
+        self.should_watch: Callable[[], bool] = lambda: (
+            True
+        )  #: whether it falls to this node to watch
+        self.store_version = 0  #: the store's version up to which this node has heard all
         self._entry: RecordEntry | None = None  #: in force here, with the operators' version
         self._read_to = 0  #: the store's version of the latest object that it brought
         self._refused = 0  #: the operators' version of a peer's that could not be read
@@ -104,39 +95,42 @@
         return self.table.configuration.version if self.table else 0
 
     @property
-    def leased(self) -> bool:
+    def requires_keys(self) -> bool:
         """Whether callers are let in by keys, which may be taken away at any time."""
         table = self.table
-        return table is not None and table.wants_keys
+        return table is not None and table.requires_keys
 
-    def organisation(self, name: str) -> Organisation | None:
+    def find_organisation(self, name: str) -> Organisation | None:
         """Give an organisation of the configuration in force."""
-        return self.table.organisation(name) if self.table else None
+        return self.table.find_organisation(name) if self.table else None
 
-    async def run(self, acquainted_at: float = -math.inf) -> None:
+    async def run(self, members_known_at: float = -math.inf) -> None:
         """Follow the store until cancelled, while that falls to this node.
 
-        Before ``acquainted_at`` it can't tell, and leaves the store alone once it knows a
+        Before ``members_known_at`` it can't tell, and leaves the store alone once it knows a
         configuration.
         """
-        backoff, grace = Backoff(FIRST_BACKOFF, MOST_BACKOFF, self.rng), FIRST_GRACE
-        patient_until = self.now() + NEWS_PATIENCE
+        backoff, grace = (
+            Backoff(INITIAL_BACKOFF_SECONDS, MAX_BACKOFF_SECONDS, self.rng),
+            INITIAL_GRACE_SECONDS,
+        )
+        patient_until = self.now() + PEER_CONFIGURATION_WAIT_SECONDS
         while True:
             now = self.now()
-            ours = self.watches() and (now >= acquainted_at or not self.version)
+            ours = self.should_watch() and (now >= members_known_at or not self.version)
             if not ours and (self.version or now < patient_until):
                 # What it heard of the store is old when its turn comes.
                 self._reachable = None
-                await asyncio.sleep(TURN_SECONDS * self.rng.uniform(0.5, 1.0))
+                await asyncio.sleep(WATCH_CHECK_SECONDS * self.rng.uniform(0.5, 1.0))
                 continue
             # After a failure first a call that does not wait: connections that were cut may have
             # hidden a change, and one that goes silent shows only when its answer is overdue.
-            wait = WATCH_SECONDS if self.known_to and self._reachable else 0.0
+            wait = WATCH_TIMEOUT_SECONDS if self.store_version and self._reachable else 0.0
             began = self.now()
             read_to = self._read_to
             match await self._watch(wait, grace):
                 case Ok():
-                    grace = FIRST_GRACE
+                    grace = INITIAL_GRACE_SECONDS
                     self._note_store(reachable=True, why='')
                     took = self.now() - began
                     if took < min(wait, backoff.seconds) and self._read_to == read_to:
@@ -148,37 +142,37 @@
                 case Err(Unavailable(detail)):
                     self._note_store(reachable=False, why=detail)
                     if self.now() - began >= wait + grace:
-                        grace = min(grace * 2, MOST_GRACE)
+                        grace = min(grace * 2, MAX_GRACE_SECONDS)
                     await self._ask_any()
                     await backoff.pause()
 
-    async def look(self) -> bool:
+    async def poll_store(self) -> bool:
         """Ask the store once, whoever's turn it is; say whether it answered."""
-        return isinstance(await self._watch(0.0, FIRST_GRACE), Ok)
+        return isinstance(await self._watch(0.0, INITIAL_GRACE_SECONDS), Ok)
 
     async def _watch(self, wait: float, grace: float) -> Result[Listing, Unavailable]:
-        began = self.freshness.clock()
-        found = await self.store.watch(self.kind, self.known_to, wait, grace)
+        began = self.configuration_lease.clock()
+        found = await self.store.watch(self.kind, self.store_version, wait, grace)
         if isinstance(found, Ok):
             self._take_listing(found.ok_value)
             if self._caught_up:
-                self.freshness.prove(began)
+                self.configuration_lease.renew(began)
         return found
 
-    def answer(self, frame: RecordFrame) -> RecordsResponse | None:
+    def answer_peer(self, frame: RecordFrame) -> RecordsResponse | None:
         """Answer a peer that has heard of a newer configuration, or cannot reach the store."""
         if not isinstance(frame, RecordsRequest):
             return None
         entry = self._entry
         entries = [entry] if entry is not None and entry.version > frame.since else []
-        age = min(max(self.freshness.age, 0.0), MAX_TIMEOUT_SECONDS)
+        age = min(max(self.configuration_lease.age, 0.0), MAX_TIMEOUT_SECONDS)
         return RecordsResponse(frame.id, self.version, age, False, entries)
 
-    def hear(self, member: Member, version: int) -> None:
+    def handle_peer_version(self, member: Member, version: int) -> None:
         """Fetch what a peer says is newer; word of it comes again if that fails."""
         if version <= self.version or self._fetching is not None:
             return
-        self._fetching = self.loop.create_task(self.ask(member))
+        self._fetching = self.loop.create_task(self.ask_peer(member))
         self._fetching.add_done_callback(self._fetched)
 
     def _fetched(self, task: 'asyncio.Task[None]') -> None:
@@ -186,11 +180,11 @@
 
     async def _ask_any(self) -> None:
         """Hear from a peer what the store would say: one that is cut off stays up to date."""
-        peers = self.peers()
+        peers = self.list_peers()
         if peers:
-            await self.ask(self.rng.choice(peers))
+            await self.ask_peer(self.rng.choice(peers))
 
-    async def ask(self, member: Member) -> None:
+    async def ask_peer(self, member: Member) -> None:
         """Ask a peer for what is newer, and for its proof that nothing is.
 
         The proof counts from before the question was sent: an answer may have been long on its
@@ -198,24 +192,24 @@
         """
         if self.links is None:
             return
-        began = self.freshness.clock()
+        began = self.configuration_lease.clock()
         ask = RecordsRequest(0, self.version)
-        answer = await self.links.fetch_records(member.peers, ask, PEER_SECONDS)
+        answer = await self.links.fetch_records(member.peers, ask, PEER_TIMEOUT_SECONDS)
         if answer is None:
             return
         for entry in answer.entries:
             self._take_told(entry, member.instance)
         if max(self.version, self._refused) >= answer.upto:
-            self.freshness.prove(began - answer.age_seconds)
+            self.configuration_lease.renew(began - answer.age_seconds)
 
     def _take_listing(self, listing: Listing) -> None:
-        before, now = place_of(self.known_to), place_of(listing.version)
-        if self.known_to and now.epoch > before.epoch:
+        before, now = place_of(self.store_version), place_of(listing.version)
+        if self.store_version and now.epoch > before.epoch:
             self._caught_up = False
             extra = {'epoch': now.epoch, 'revision': now.revision, 'before': before.revision}
             self.logger.warning('store returned from a copy', extra=extra)
-            self.on_return()
-        self.known_to = max(listing.version, self.known_to)
+            self.on_store_restored()
+        self.store_version = max(listing.version, self.store_version)
         for held in listing.objects:
             if held.name == self.name and held.value is not None:
                 self._take_stored(held)
@@ -235,7 +229,7 @@
         """Put a configuration in force if it is newer; gives its version, None if unreadable."""
         if self._entry is not None and doc == self._entry.doc:
             return self.version
-        match self.read(doc):
+        match self.decode(doc):
             case Err(why):
                 # The last good one stays in force: no answer is better than a wrong route.
                 self.logger.error('configuration unusable', extra={'why': why, 'source': source})
@@ -249,7 +243,7 @@
         self.logger.info('configuration taken', extra=extra)
         self._entry = RecordEntry(self.name, found, doc)
         self.table = RouteTable(configuration, self.table)
-        self.freshness.wake()
+        self.configuration_lease.notify_waiters()
         self.on_change(configuration)
         return found
 
--- a/dunlinsaddle/routes/proofs.py
+++ b/dunlinsaddle/routes/lease_renewal.py
@@ -4,28 +4,30 @@
 import math
 from random import Random
 
-from dunlinsaddle.access.freshness import Freshness
+from dunlinsaddle.access.configuration_lease import ConfigurationLease
 from dunlinsaddle.loops import OnLoop
 from dunlinsaddle.membership.keepers import Watchers
 from dunlinsaddle.membership.view import Member, MemberView
-from dunlinsaddle.routes.follow import ConfigFollower
+from dunlinsaddle.routes.config_follower import ConfigFollower
 
-ROUND_SECONDS = 0.25  #: between two decisions whom to ask
+RENEWAL_INTERVAL_SECONDS = 0.25  #: between two decisions whom to ask
 #: Age in seconds from which the first watcher of a domain asks the store for a proof. It bounds
 #: the calls to the store: one a second for each domain.
-READ_SECONDS = 0.9
+STORE_POLL_AGE_SECONDS = 0.9
 #: Seconds that each further watcher waits longer than the one before it, so that it asks only
 #: where that one fails.
-NEXT_SECONDS = 0.4
+WATCHER_STAGGER_SECONDS = 0.4
 #: Age from which a node asks its domain's first watcher, whose proof is mostly younger.
-ASK_SECONDS = 0.7
+PEER_POLL_AGE_SECONDS = 0.7
 #: Age that no proof reaches while one of the domain's watchers is served by the store.
-OVERDUE_SECONDS = READ_SECONDS + 2 * NEXT_SECONDS + ROUND_SECONDS
+OVERDUE_AGE_SECONDS = (
+    STORE_POLL_AGE_SECONDS + 2 * WATCHER_STAGGER_SECONDS + RENEWAL_INTERVAL_SECONDS
+)
 #: Seconds for which a node leaves the store alone that did not answer it.
-REFUSED_SECONDS = 1.0
+STORE_RETRY_SECONDS = 1.0
 
 
-class ProofAsker(OnLoop):
+class LeaseRenewer(OnLoop):
     """Renews the lease on a node's configuration, by question and answer.
 
     A proof is as old as the question that it answers. So the watches, which wait for seconds on
@@ -38,14 +40,14 @@
     def __init__(
         self,
         follower: ConfigFollower,
-        freshness: Freshness,
+        configuration_lease: ConfigurationLease,
         view: MemberView,
         watchers: Watchers,
         instance: str,
         rng: Random,
     ) -> None:
         self.follower = follower
-        self.freshness = freshness
+        self.configuration_lease = configuration_lease
         self.view = view
         self.watchers = watchers
         self.instance = instance
@@ -55,31 +57,34 @@
     async def run(self) -> None:
         """Ask until cancelled, while callers are let in by keys."""
         while True:
-            await asyncio.sleep(ROUND_SECONDS * self.rng.uniform(0.8, 1.2))
-            if self.follower.leased and self.freshness.age >= ASK_SECONDS:
+            await asyncio.sleep(RENEWAL_INTERVAL_SECONDS * self.rng.uniform(0.8, 1.2))
+            if (
+                self.follower.requires_keys
+                and self.configuration_lease.age >= PEER_POLL_AGE_SECONDS
+            ):
                 await self._renew()
 
     async def _renew(self) -> None:
         if self._asks_store():
-            if not await self.follower.look():
+            if not await self.follower.poll_store():
                 self._refused_at = self.now()
             return
-        age = self.freshness.age
-        if age >= OVERDUE_SECONDS:
+        age = self.configuration_lease.age
+        if age >= OVERDUE_AGE_SECONDS:
             await self._ask([m for m in self.view.members() if not m.gone])
-        elif age >= READ_SECONDS + NEXT_SECONDS:
+        elif age >= STORE_POLL_AGE_SECONDS + WATCHER_STAGGER_SECONDS:
             await self._ask(self.watchers.chosen())
         else:
             await self._ask(self.watchers.chosen()[:1])
 
     def _asks_store(self) -> bool:
-        if self.now() - self._refused_at < REFUSED_SECONDS:
+        if self.now() - self._refused_at < STORE_RETRY_SECONDS:
             return False
-        age = self.freshness.age
+        age = self.configuration_lease.age
         for place, member in enumerate(self.watchers.chosen()):
             if member.instance == self.instance:
-                return age >= READ_SECONDS + place * NEXT_SECONDS
-        return age >= OVERDUE_SECONDS and self._falls_to_us()
+                return age >= STORE_POLL_AGE_SECONDS + place * WATCHER_STAGGER_SECONDS
+        return age >= OVERDUE_AGE_SECONDS and self._falls_to_us()
 
     def _falls_to_us(self) -> bool:
         near = sum(m.domain == self.watchers.domain and not m.gone for m in self.view.members())
@@ -88,4 +93,4 @@
     async def _ask(self, members: list[Member]) -> None:
         others = [m for m in members if m.instance != self.instance]
         if others:
-            await self.follower.ask(self.rng.choice(others))
+            await self.follower.ask_peer(self.rng.choice(others))
--- a/dunlinsaddle/routes/models.py
+++ b/dunlinsaddle/routes/models.py
@@ -3,7 +3,7 @@
 from typing import NamedTuple
 
 
-class Share(NamedTuple):
+class WeightedService(NamedTuple):
     """A service of a route, and its weight among the route's services."""
 
     service: str
@@ -18,19 +18,19 @@
     prefix: str  #: begins and ends with a slash
     idempotent: bool
     timeout: float | None  #: the longest that a caller is kept waiting
-    objective: float | None  #: an answer within it earns its full worth
-    attempts: int  #: targets that one request may be sent to
+    latency_objective: float | None  #: an answer within it earns its full worth
+    max_attempts: int  #: targets that one request may be sent to
     priority: int  #: 0 is the highest
-    shares: tuple[Share, ...]
+    weighted_services: tuple[WeightedService, ...]
     public: bool = False  #: open to requests without a key
 
 
-class ServiceSpec(NamedTuple):
+class ServiceSettings(NamedTuple):
     """What the operators say of a service."""
 
     name: str
     health_path: str
-    connections: int
+    max_connections: int
 
 
 class Quota(NamedTuple):
@@ -44,7 +44,7 @@
     """Who may call, by digests of its keys: no copy of a key is held in this form."""
 
     name: str
-    keys: frozenset[bytes]
+    key_digests: frozenset[bytes]
     priority: int | None = None  #: goes before that of the routes; 0 is the highest
     quota: Quota | None = None  #: None for no limit
 
@@ -63,6 +63,6 @@
 
     version: int
     routes: tuple[Route, ...]
-    services: dict[str, ServiceSpec]
+    services: dict[str, ServiceSettings]
     limits: Limits
     organisations: tuple[Organisation, ...] = ()  #: none: no request needs a key
--- a/dunlinsaddle/routes/table.py
+++ b/dunlinsaddle/routes/table.py
@@ -3,9 +3,9 @@
 from itertools import islice
 from random import Random
 
-from dunlinsaddle.routes.models import Configuration, Organisation, Route, Share
+from dunlinsaddle.routes.models import Configuration, Organisation, Route, WeightedService
 
-WITHDRAWN_MOST = 100_000  #: keys that are remembered as withdrawn: a bound on memory
+MAX_REVOKED_KEYS = 100_000  #: keys that are remembered as withdrawn: a bound on memory
 
 
 class RouteTable:
@@ -17,30 +17,32 @@
         for route in configuration.routes:
             self._hosts.setdefault(route.host, {})[route.prefix] = route
         self._organisations = {org.name: org for org in configuration.organisations}
-        self._holders = {key: org for org in configuration.organisations for key in org.keys}
-        self._withdrawn: frozenset[bytes] = frozenset()
+        self._holders = {key: org for org in configuration.organisations for key in org.key_digests}
+        self._revoked_keys: frozenset[bytes] = frozenset()
         if before is not None:
-            known = before._withdrawn.union(before._holders)
-            self._withdrawn = frozenset(islice(known.difference(self._holders), WITHDRAWN_MOST))
+            known = before._revoked_keys.union(before._holders)
+            self._revoked_keys = frozenset(
+                islice(known.difference(self._holders), MAX_REVOKED_KEYS)
+            )
 
     @property
-    def wants_keys(self) -> bool:
+    def requires_keys(self) -> bool:
         """Whether requests need a key, but for those on public routes."""
         return bool(self.configuration.organisations)
 
-    def organisation(self, name: str) -> Organisation | None:
+    def find_organisation(self, name: str) -> Organisation | None:
         """Give an organisation by its name."""
         return self._organisations.get(name)
 
-    def withdrawn(self, digest: bytes) -> bool:
+    def is_revoked(self, digest: bytes) -> bool:
         """Say whether a key was held in an earlier configuration that this node knew."""
-        return digest in self._withdrawn
+        return digest in self._revoked_keys
 
-    def holder(self, digest: bytes) -> Organisation | None:
+    def find_key_holder(self, digest: bytes) -> Organisation | None:
         """Give the organisation that holds a key, by the key's digest."""
         return self._holders.get(digest)
 
-    def find(self, host: str, path: str) -> Route | None:
+    def find_route(self, host: str, path: str) -> Route | None:
         """Give the route of a request, whose path may carry a query; None without a match.
 
         Prefixes end with a slash, so only the parts of the path up to a slash can match.
@@ -59,8 +61,8 @@
         return None
 
 
-def choose_service(shares: tuple[Share, ...], rng: Random) -> str:
+def choose_service(weighted_services: tuple[WeightedService, ...], rng: Random) -> str:
     """Pick a service by weight; resends of a request stay with the one that was picked."""
-    if len(shares) == 1:
-        return shares[0].service
-    return rng.choices(shares, [share.weight for share in shares])[0].service
+    if len(weighted_services) == 1:
+        return weighted_services[0].service
+    return rng.choices(weighted_services, [share.weight for share in weighted_services])[0].service
--- a/tests/builders.py
+++ b/tests/builders.py
@@ -1,16 +1,11 @@
 """Builders of test data: each gives something valid, changed where the test says so."""
-
 import asyncio
 import io
 import json
 import logging
 from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
-from heapq import heappop, heappush
-from random import Random
-from typing import Any
-
-from dunlinsaddle.access.freshness import Freshness
+from dunlinsaddle.access.configuration_lease import ConfigurationLease
 from dunlinsaddle.calls.call_state import PendingCall
 from dunlinsaddle.calls.messages import Call, Reply
 from dunlinsaddle.environment import Environment
@@ -26,9 +21,12 @@
 from dunlinsaddle.records.changes import Change
 from dunlinsaddle.records.models import Rank, RequestRule, ServiceRecord
 from dunlinsaddle.records.sync import RecordSync
-from dunlinsaddle.routes.follow import ConfigFollower
+from dunlinsaddle.routes.config_follower import ConfigFollower
 from dunlinsaddle.settings import Address, Settings, read_settings
+from heapq import heappop, heappush
+from random import Random
 from tests.fakes.network import open_in_memory
+from typing import Any
 
 PEER_KEY = 'a-key-for-tests'
 OPERATOR_TOKEN = 'a-token-for-tests'
@@ -79,7 +77,7 @@
         read_configuration,
         Random(1),
         build_logger('follow'),
-        Freshness(_loop_time, None),
+        ConfigurationLease(_loop_time, None),
     )
 
 
--- a/tests/fakes/lenders.py
+++ b/tests/fakes/lenders.py
@@ -7,7 +7,7 @@
 
 from result import Ok
 
-from dunlinsaddle.access.quotas import Quotas
+from dunlinsaddle.access.quotas import QuotaCoordinator
 from dunlinsaddle.membership.messages import QuotaMessage
 from dunlinsaddle.policy.quota import QuotaLedger
 from dunlinsaddle.routes.models import Organisation, Quota
@@ -26,10 +26,10 @@
         self.fleet = fleet
         self.name = name
 
-    def present(self) -> tuple[list[str], float]:
+    def live_nodes(self) -> tuple[list[str], float]:
         return self.fleet.seen_by(self.name)
 
-    def head(self) -> dict[str, Any]:
+    def message_header(self) -> dict[str, Any]:
         return {'sender': self.name, 'reply_to': Address('127.0.0.1', 1)}
 
     def send(self, instance: str, message: QuotaMessage) -> None:
@@ -54,7 +54,7 @@
         self.ran: dict[str, list[float]] = defaultdict(list)
         self.asked: dict[str, list[float]] = defaultdict(list)
         self.refused = 0
-        self.nodes: dict[str, Quotas] = {}
+        self.nodes: dict[str, QuotaCoordinator] = {}
         for name in self.names:
             self._make(name)
 
@@ -63,9 +63,9 @@
 
     def _make(self, name: str) -> None:
         ledger = QuotaLedger(SLACK, WINDOW, OVERAGE)
-        node = Quotas(name, FakePeers(self, name), ledger, self.organisations.get)
+        node = QuotaCoordinator(name, FakePeers(self, name), ledger, self.organisations.get)
         self.nodes[name] = node
-        node.members_change()
+        node.on_members_change()
 
     def seen_by(self, name: str) -> tuple[list[str], float]:
         now = self.now()
@@ -101,7 +101,7 @@
             # It reads what has come when it goes on.
             asyncio.get_running_loop().call_later(0.05, self._deliver, sender, to, message)
         elif self.reached(sender, to):
-            self.nodes[to].hear(message)
+            self.nodes[to].handle_message(message)
 
     def kill(self, name: str) -> None:
         self.down[name] = self.now()
@@ -124,14 +124,14 @@
         while True:
             await asyncio.sleep(0.2)
             for node in self.nodes.values():
-                node.members_change()
+                node.on_members_change()
 
     async def request(self, entry: str, name: str) -> None:
         org = self.organisations[name]
         sent = self.now()
         self.asked[name].append(sent)
         node = self.nodes[entry]
-        taken = await node.take(org)
+        taken = await node.acquire(org)
         if entry in self.down or self.nodes[entry] is not node:
             return
         if isinstance(taken, Ok):
--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -239,7 +239,7 @@
         async def scenario(fleet):
             fleet.messages = 0
             free = Organisation('free', frozenset())
-            taken = await fleet.nodes['n000'].take(free)
+            taken = await fleet.nodes['n000'].acquire(free)
             self.assertIsInstance(taken, Ok)
             fleet.free_messages = fleet.messages
 
--- a/tests/test_restored_store.py
+++ b/tests/test_restored_store.py
@@ -1,19 +1,11 @@
 """The store comes back from an older copy: its revisions go back and are given out again."""
-
 import asyncio
-
 import msgspec
-
 from dunlinsaddle.calls.http import HttpRequest
 from dunlinsaddle.platform.store import ABSENT, Conflict, Place, place_of
 from standins.platform import Platform
-from tests.builders import (
-    build_configuration,
-    build_document,
-    build_record_sync,
-    running_follower,
-)
-from tests.mesh_case import SETTLE_SECONDS, MeshTest
+from tests.builders import build_configuration, build_document, build_record_sync, running_follower
+from tests.mesh_case import MeshTest, SETTLE_SECONDS
 from tests.store_case import StoreCase
 
 IN_FORCE = 2.0  #: seconds within which a change has to be in force
@@ -204,10 +196,10 @@
         async def scenario(platform, follower):
             await self.drill(platform)
             await asyncio.sleep(LONG)
-            age = follower.freshness.age
+            age = follower.configuration_lease.age
             await Operator(platform).configure('r21')
             await asyncio.sleep(IN_FORCE)
-            return age, follower.freshness.age
+            return age, follower.configuration_lease.age
 
         before, after = self.follow(scenario)
         self.assertGreater(before, LONG)
--- a/tests/test_routes.py
+++ b/tests/test_routes.py
@@ -6,7 +6,7 @@
 
 from dunlinsaddle.platform.configuration import read_configuration
 from dunlinsaddle.platform.store import WATCH_GRACE, Unavailable
-from dunlinsaddle.routes.models import Share
+from dunlinsaddle.routes.models import WeightedService
 from dunlinsaddle.routes.table import RouteTable, choose_service
 from tests.builders import build_configuration, build_route, running_follower
 from tests.clock import PausedClockTest
@@ -20,27 +20,29 @@
 
     def test_longest_prefix_that_begins_the_path_wins(self):
         table = self.table('/a/', '/a/b/', '/')
-        found = {path: table.find('h.example', path).name for path in ('/a/b/c', '/a/x', '/z')}
+        found = {
+            path: table.find_route('h.example', path).name for path in ('/a/b/c', '/a/x', '/z')
+        }
         self.assertEqual({'/a/b/c': '/a/b/', '/a/x': '/a/', '/z': '/'}, found)
 
     def test_a_prefix_matches_whole_parts_of_the_path_only(self):
         table = self.table('/a/b/')
-        self.assertIsNone(table.find('h.example', '/a/bc'))
-        self.assertIsNone(table.find('h.example', '/a/b'))
-        self.assertIsNotNone(table.find('h.example', '/a/b/?q=/x/'))
+        self.assertIsNone(table.find_route('h.example', '/a/bc'))
+        self.assertIsNone(table.find_route('h.example', '/a/b'))
+        self.assertIsNotNone(table.find_route('h.example', '/a/b/?q=/x/'))
 
     def test_a_slash_in_the_query_is_no_part_of_the_path(self):
-        self.assertIsNone(self.table('/a/b/').find('h.example', '/a?x=/b/'))
+        self.assertIsNone(self.table('/a/b/').find_route('h.example', '/a?x=/b/'))
 
     def test_hosts_are_told_apart_without_case_or_port(self):
         table = self.table('/a/')
-        self.assertIsNotNone(table.find('H.Example:8080', '/a/1'))
-        self.assertIsNone(table.find('other.example', '/a/1'))
+        self.assertIsNotNone(table.find_route('H.Example:8080', '/a/1'))
+        self.assertIsNone(table.find_route('other.example', '/a/1'))
 
     def test_services_of_a_split_are_chosen_by_weight(self):
         rng = Random(1)
-        shares = (Share('x', 90), Share('y', 10))
-        chosen = [choose_service(shares, rng) for _ in range(2000)]
+        weighted_services = (WeightedService('x', 90), WeightedService('y', 10))
+        chosen = [choose_service(weighted_services, rng) for _ in range(2000)]
         self.assertAlmostEqual(0.9, chosen.count('x') / 2000, delta=0.03)
 
 
@@ -50,8 +52,10 @@
         found = read_configuration(build_configuration(version='r12', routes=[route])).unwrap()
         self.assertEqual(12, found.version)
         (plain,) = found.routes
-        self.assertEqual((False, 1.0, 1.5), (plain.idempotent, plain.timeout, plain.objective))
-        self.assertEqual((Share('svc', 1.0),), plain.shares)
+        self.assertEqual(
+            (False, 1.0, 1.5), (plain.idempotent, plain.timeout, plain.latency_objective)
+        )
+        self.assertEqual((WeightedService('svc', 1.0),), plain.weighted_services)
         self.assertEqual(15.0, found.limits.idle_timeout)
 
     def test_what_cannot_be_used_is_refused_whole(self):
--- a/tests/test_shared_watch.py
+++ b/tests/test_shared_watch.py
@@ -1,15 +1,12 @@
 """A configuration reaches all nodes of a fleet through the few that watch the store."""
-
 import asyncio
-
-from testtools import TestCase
-
 from dunlinsaddle.membership.keepers import KEEPERS, Watchers, by_hash
 from dunlinsaddle.membership.view import MemberView, State
 from tests.builders import build_configuration, build_member
 from tests.fakes.mesh import Mesh
 from tests.fakes.network import Machines
 from tests.mesh_case import MeshTest
+from testtools import TestCase
 
 DOMAINS = 3
 NODES = 24
@@ -38,7 +35,7 @@
         return {n.follower.version for name, n in mesh.nodes.items() if name not in mesh.stopped}
 
     def watchers(self, mesh: Mesh) -> list[str]:
-        return [name for name, node in mesh.nodes.items() if node.follower.watches()]
+        return [name for name, node in mesh.nodes.items() if node.follower.should_watch()]
 
     def test_three_nodes_of_each_domain_watch_and_all_hear_of_a_change(self):
         async def scenario(mesh):
--- a/tests/test_withdrawn_keys.py
+++ b/tests/test_withdrawn_keys.py
@@ -1,15 +1,12 @@
 """A key that was taken away is refused everywhere in time, also where no word of it arrives."""
-
 import asyncio
 import math
-
-from testtools import TestCase
-
-from dunlinsaddle.access.freshness import USED_SHARE, Freshness
-from dunlinsaddle.routes.proofs import ROUND_SECONDS
+from dunlinsaddle.access.configuration_lease import ConfigurationLease, EXPIRY_FRACTION
+from dunlinsaddle.routes.lease_renewal import RENEWAL_INTERVAL_SECONDS
 from tests.builders import build_configuration, build_tenant
 from tests.fakes.mesh import LIMITS
 from tests.mesh_case import MeshTest
+from testtools import TestCase
 
 DOMAINS = 3
 NODES = 15
@@ -36,14 +33,14 @@
         return {answer.status for answer in await asyncio.gather(*answers)}
 
     def watchers(self, mesh):
-        return {name for name, node in mesh.nodes.items() if node.follower.watches()}
+        return {name for name, node in mesh.nodes.items() if node.follower.should_watch()}
 
     async def ages(self, mesh, seconds, names=NAMES):
         """Give the greatest age of a proof at any of the nodes over some time."""
         most = 0.0
         for _ in range(int(seconds / 0.1)):
             await asyncio.sleep(0.1)
-            most = max(most, *(mesh.nodes[name].freshness.age for name in names))
+            most = max(most, *(mesh.nodes[name].configuration_lease.age for name in names))
         return most
 
     def test_proofs_stay_young_at_all_nodes_for_few_calls_to_the_store(self):
@@ -52,7 +49,7 @@
             return await self.ages(mesh, 60), mesh.store.calls - before
 
         oldest, calls = self.fleet(scenario)
-        self.assertLess(oldest, USED_SHARE * REVOKE)
+        self.assertLess(oldest, EXPIRY_FRACTION * REVOKE)
         # Nine watches of five seconds, one question a second for each domain, and two passes of
         # nine keepers over the rosters.
         self.assertLessEqual(calls, 9 * 60 / 5 + DOMAINS * 60 + 9 * 4)
@@ -89,7 +86,7 @@
             return oldest, await self.statuses(mesh, NAMES)
 
         oldest, statuses = self.fleet(scenario)
-        self.assertLess(oldest, USED_SHARE * REVOKE)
+        self.assertLess(oldest, EXPIRY_FRACTION * REVOKE)
         self.assertEqual({401}, statuses)
 
     def test_all_watchers_turned_away_shut_nobody_out(self):
@@ -97,7 +94,7 @@
             mesh.nodes_without_store = self.watchers(mesh)
             return await self.ages(mesh, 20)
 
-        self.assertLess(self.fleet(scenario), USED_SHARE * REVOKE)
+        self.assertLess(self.fleet(scenario), EXPIRY_FRACTION * REVOKE)
 
     def test_a_watcher_that_dies_shuts_nobody_out(self):
         async def scenario(mesh):
@@ -106,7 +103,7 @@
                 await mesh.kill(name)
             return await self.ages(mesh, 20, [n for n in NAMES if n not in dead])
 
-        self.assertLess(self.fleet(scenario), USED_SHARE * REVOKE)
+        self.assertLess(self.fleet(scenario), EXPIRY_FRACTION * REVOKE)
 
     def test_an_outage_of_the_store_shuts_callers_out_until_its_end_and_brings_no_flood(self):
         async def scenario(mesh):
@@ -123,7 +120,7 @@
         shut, calls, after = self.fleet(scenario)
         self.assertEqual(({503}, {200}), (shut, after))
         # Nine watchers that try each second, twice, and one node of each domain each round.
-        self.assertLessEqual(calls, 10 * (2 * 9 / 0.75 + DOMAINS / ROUND_SECONDS))
+        self.assertLessEqual(calls, 10 * (2 * 9 / 0.75 + DOMAINS / RENEWAL_INTERVAL_SECONDS))
 
     def test_a_key_that_was_just_added_is_not_refused_for_good(self):
         # A node that has not heard of the key yet waits for word of a newer configuration.
@@ -151,31 +148,31 @@
 class FreshnessTest(TestCase):
     def lease(self, most=5.0):
         self.time = 0.0
-        return Freshness(lambda: self.time, most)
+        return ConfigurationLease(lambda: self.time, most)
 
     def test_it_lapses_well_before_the_bound(self):
         lease = self.lease()
-        self.assertTrue(lease.lapsed)
-        lease.prove(0.0)
-        self.time = USED_SHARE * 5.0 - 0.01
-        self.assertFalse(lease.lapsed)
-        self.time = USED_SHARE * 5.0
-        self.assertTrue(lease.lapsed)
+        self.assertTrue(lease.expired)
+        lease.renew(0.0)
+        self.time = EXPIRY_FRACTION * 5.0 - 0.01
+        self.assertFalse(lease.expired)
+        self.time = EXPIRY_FRACTION * 5.0
+        self.assertTrue(lease.expired)
 
     def test_an_older_proof_takes_nothing_back(self):
         lease = self.lease()
-        lease.prove(3.0)
-        lease.prove(1.0)
-        self.assertEqual(3.0, lease.proved_at)
+        lease.renew(3.0)
+        lease.renew(1.0)
+        self.assertEqual(3.0, lease.confirmed_at)
 
     def test_where_nothing_binds_it_never_lapses(self):
         lease = self.lease(None)
         self.assertEqual(math.inf, lease.age)
-        self.assertFalse(lease.lapsed)
+        self.assertFalse(lease.expired)
 
     def test_a_suspended_machine_finds_its_proof_too_old(self):
         # The loop's clock stands still while a machine is suspended; this one goes on.
         lease = self.lease()
-        lease.prove(0.0)
+        lease.renew(0.0)
         self.time = 60.0
-        self.assertTrue(lease.lapsed)
+        self.assertTrue(lease.expired)
