--- a/dunlinsaddle/access/lender_client.py
+++ b/dunlinsaddle/access/lender_client.py
@@ -1,14 +1,12 @@
 """Questions to the lenders of quotas, and which of them have been silent."""
-
 import asyncio
 import math
 import secrets
 from collections.abc import Coroutine
-from typing import Any, Protocol
-
 from dunlinsaddle.loops import OnLoop
-from dunlinsaddle.membership.messages import QuotaAnswer, QuotaAsk, QuotaMessage, Standing
+from dunlinsaddle.membership.messages import QuotaMessage, QuotaRequest, QuotaResponse, QuotaStatus
 from dunlinsaddle.policy.quota import Granted, QuotaDecision, RetryLater
+from typing import Any, Protocol
 
 #: Seconds after which a question is sent once more: datagrams get lost, and an answer takes some
 #: milliseconds.
@@ -40,7 +38,7 @@
         self.peers = peers
         self.queries_sent = 0
         self._numbers = secrets.randbits(48)  #: so that a restarted node asks no old question
-        self._open: dict[int, asyncio.Future[QuotaAnswer | None]] = {}
+        self._open: dict[int, asyncio.Future[QuotaResponse | None]] = {}
         self._asked_at: dict[str, float] = {}
         self._unanswered: dict[str, float] = {}  #: since when
         self._tasks: set[asyncio.Task[None]] = set()
@@ -52,8 +50,10 @@
         self._numbers += 1
         number = self._numbers
         message_header = self.peers.message_header()
-        ask = QuotaAsk(**message_header, number=number, organisation=organisation, relayed=relayed)
-        fut: asyncio.Future[QuotaAnswer | None] = self.loop.create_future()
+        ask = QuotaRequest(
+            **message_header, correlation_id=number, organisation=organisation, relayed=relayed
+        )
+        fut: asyncio.Future[QuotaResponse | None] = self.loop.create_future()
         self._open[number] = fut
         self._note_asked(lender)
         self.peers.send(lender, ask)
@@ -66,9 +66,9 @@
             end.cancel()
             self._open.pop(number, None)
 
-    def handle_answer(self, answer: QuotaAnswer) -> None:
+    def handle_answer(self, answer: QuotaResponse) -> None:
         """Take an answer; one that comes too late belongs to nobody."""
-        fut = self._open.pop(answer.number, None)
+        fut = self._open.pop(answer.correlation_id, None)
         if fut is not None and not fut.done():
             fut.set_result(answer)
 
@@ -113,28 +113,33 @@
 
 
 def build_answer(
-    ask: QuotaAsk, verdict: QuotaDecision | None, message_header: dict[str, Any]
-) -> QuotaAnswer:
+    ask: QuotaRequest, verdict: QuotaDecision | None, message_header: dict[str, Any]
+) -> QuotaResponse:
     """Give the answer to a question; without a verdict that this node does not lend the quota."""
     match verdict:
         case Granted():
-            return QuotaAnswer(**message_header, number=ask.number, standing=Standing.LENT)
+            return QuotaResponse(
+                **message_header, correlation_id=ask.correlation_id, status=QuotaStatus.GRANTED
+            )
         case RetryLater(seconds):
-            return QuotaAnswer(
-                **message_header, number=ask.number, standing=Standing.LATER, wait=seconds
+            return QuotaResponse(
+                **message_header,
+                correlation_id=ask.correlation_id,
+                status=QuotaStatus.EXHAUSTED,
+                wait_seconds=seconds,
             )
-    return QuotaAnswer(**message_header, number=ask.number, standing=Standing.NOT_MINE)
+    return QuotaResponse(**message_header, correlation_id=ask.correlation_id, status=QuotaStatus.NOT_LENDER)
 
 
-def _verdict_of(answer: QuotaAnswer | None) -> QuotaDecision | None:
+def _verdict_of(answer: QuotaResponse | None) -> QuotaDecision | None:
     match answer:
-        case QuotaAnswer(standing=Standing.LENT):
+        case QuotaResponse(status=QuotaStatus.GRANTED):
             return Granted()
-        case QuotaAnswer(standing=Standing.LATER, wait=wait):
+        case QuotaResponse(status=QuotaStatus.EXHAUSTED, wait_seconds=wait):
             return RetryLater(wait)
     return None
 
 
-def _give_up(fut: 'asyncio.Future[QuotaAnswer | None]') -> None:
+def _give_up(fut: 'asyncio.Future[QuotaResponse | None]') -> None:
     if not fut.done():
         fut.set_result(None)
--- a/dunlinsaddle/access/peers.py
+++ b/dunlinsaddle/access/peers.py
@@ -1,12 +1,10 @@
 """The other nodes, as the lenders of quotas see them."""
-
 from collections.abc import Callable
-from typing import Any
-
 from dunlinsaddle.loops import OnLoop
 from dunlinsaddle.membership.agent import GossipAgent
 from dunlinsaddle.membership.messages import QuotaMessage
 from dunlinsaddle.membership.view import MemberView, State
+from typing import Any
 
 #: Seconds for which a dead node counts as one that may still lend behind a cut. Later it is taken
 #: as gone, and the others lend what was its part.
@@ -27,7 +25,7 @@
 
     def live_nodes(self) -> tuple[list[str], float]:
         """Give the nodes that are not gone, and what share of all are surely in touch."""
-        there = [m for m in self.view.members() if not m.gone]
+        there = [m for m in self.view.members() if not m.is_gone]
         # Suspicions count at once: of a fleet that is cut in two, half are suspected long before
         # they are held dead, and both halves lend meanwhile.
         suspected = sum(m.state is State.SUSPECT for m in there)
@@ -37,7 +35,7 @@
 
     def message_header(self) -> dict[str, Any]:
         """Give the fields of a message that say who sends it."""
-        return self.agent.gossip.head()
+        return self.agent.gossip.message_header()
 
     def send(self, instance: str, message: QuotaMessage) -> None:
         """Send a datagram, which may get lost."""
@@ -47,7 +45,7 @@
 
     def _count_recently_dead(self) -> int:
         now = self.now()
-        departed = self.agent.gossip.departed
+        departed = self.agent.gossip.tombstones
         return sum(
             m.state is State.DEAD and departed.age(now, m.instance) < RECENTLY_DEAD_SECONDS
             for m in departed.members()
--- a/dunlinsaddle/access/quotas.py
+++ b/dunlinsaddle/access/quotas.py
@@ -1,24 +1,16 @@
 """Takes what requests need of their organisation's quota, from the node that lends it."""
-
 import asyncio
 import math
 from collections import OrderedDict
 from collections.abc import Callable
-from typing import NamedTuple
-
-from result import Err, Ok, Result
-
 from dunlinsaddle.access.lender_client import LenderClient, QuotaPeers, build_answer
 from dunlinsaddle.errors import ErrorKind, Failure
 from dunlinsaddle.loops import OnLoop
-from dunlinsaddle.membership.messages import (
-    QuotaAnswer,
-    QuotaAsk,
-    QuotaMessage,
-    QuotaReturn,
-)
+from dunlinsaddle.membership.messages import QuotaMessage, QuotaRequest, QuotaResponse, QuotaReturn
 from dunlinsaddle.policy.quota import Granted, HashRing, QuotaDecision, QuotaLedger, RetryLater
 from dunlinsaddle.routes.models import Organisation
+from result import Err, Ok, Result
+from typing import NamedTuple
 
 LENDER_TIMEOUT_SECONDS = 0.16  #: after which a lender counts as silent, and the next one is asked
 #: Seconds that a stand-in waits for the lender before it. Longer than askers do: a lender that is
@@ -75,7 +67,7 @@
         self.find_organisation = find_organisation
         self.ring = HashRing()
         self.lender_client = LenderClient(peers)
-        self._answered: OrderedDict[tuple[str, int], QuotaAnswer | None] = OrderedDict()
+        self._answered: OrderedDict[tuple[str, int], QuotaResponse | None] = OrderedDict()
         self._refresh: asyncio.TimerHandle | None = None
         self._started_at = math.inf
         self._changed_at = 0.0
@@ -143,15 +135,15 @@
         """Take a message of another node."""
         self.lender_client.mark_alive(message.sender)
         match message:
-            case QuotaAnswer():
+            case QuotaResponse():
                 self.lender_client.handle_answer(message)
             case QuotaReturn(organisation=organisation):
                 self.ledger.refund(organisation)
-            case QuotaAsk():
+            case QuotaRequest():
                 self._hear_ask(message)
 
-    def _hear_ask(self, ask: QuotaAsk) -> None:
-        key = (ask.sender, ask.number)
+    def _hear_ask(self, ask: QuotaRequest) -> None:
+        key = (ask.sender, ask.correlation_id)
         if key in self._answered:
             # It was sent once more as the answer was late: it must not be lent for twice.
             answer = self._answered[key]
@@ -166,12 +158,12 @@
         else:
             self.lender_client.spawn(self._answer_later(ask))
 
-    async def _answer_later(self, ask: QuotaAsk) -> None:
+    async def _answer_later(self, ask: QuotaRequest) -> None:
         self._answer(ask, await self._decide(ask.organisation))
 
-    def _answer(self, ask: QuotaAsk, verdict: QuotaDecision | None) -> None:
+    def _answer(self, ask: QuotaRequest, verdict: QuotaDecision | None) -> None:
         answer = build_answer(ask, verdict, self.peers.message_header())
-        self._answered[ask.sender, ask.number] = answer
+        self._answered[ask.sender, ask.correlation_id] = answer
         self.peers.send(ask.sender, answer)
 
     async def _decide(self, organisation: str) -> QuotaDecision | None:
--- a/dunlinsaddle/calls/dispatch.py
+++ b/dunlinsaddle/calls/dispatch.py
@@ -182,7 +182,9 @@
         service = call.ctx.service
         if not given or not self.resend_policy.is_limited_to_tried_targets(call):
             return self.choose_member(service, tried)
-        return self.choose_member(service, {m.instance for m in self.view.serving(service)} - given)
+        return self.choose_member(
+            service, {m.instance for m in self.view.serving_members(service)} - given
+        )
 
     def _note_resend(self, call: PendingCall, last: Reply, tries: int) -> None:
         self.stats.retries += 1
@@ -212,7 +214,7 @@
 
     def choose_member(self, service: str, tried: set[str]) -> Member | None:
         """Give the member to send a call to, or None when all were tried."""
-        serving = self.view.serving(service)
+        serving = self.view.serving_members(service)
         known = self._choices.get(service)
         if known is None or known.serving is not serving:
             known = self._choices[service] = _choices(serving)
@@ -224,7 +226,7 @@
         loop = self.loop
         handed = call.allowance.delegate()
         if self.decisions is not None:
-            known = len(self.view.serving(call.ctx.service))
+            known = len(self.view.serving_members(call.ctx.service))
             load = self.router.latest_load(member.instance)
             self.decisions.log_sent(call.ctx, member.instance, load, known)
         began = loop.time()
@@ -319,7 +321,7 @@
         if reply.load is not None and reply.load.limited_by != service:
             return True
         told = self._told
-        return all(_names_rate(told.get(m.instance)) for m in self.view.serving(service))
+        return all(_names_rate(told.get(m.instance)) for m in self.view.serving_members(service))
 
     def _after(self, call: PendingCall, reply: Reply) -> PendingCall:
         """Carry on with the call what its last try taught."""
--- a/dunlinsaddle/calls/handover.py
+++ b/dunlinsaddle/calls/handover.py
@@ -12,8 +12,8 @@
 
 from dunlinsaddle.calls.link import PeerLinks
 from dunlinsaddle.calls.messages import FinishedKey, KeysPush, Reply
+from dunlinsaddle.key_ownership.range_manager import RangeManager
 from dunlinsaddle.membership.view import Member, MemberView
-from dunlinsaddle.once.keeper import RangeKeeper
 from dunlinsaddle.pieces import cut_pieces
 from dunlinsaddle.policy.key_table import KeyRecord, KeyTable
 from dunlinsaddle.policy.keys import TimestampedKey, parse_key
@@ -35,19 +35,21 @@
     not_taken: int
 
 
-def has_owner_ended(keeper: RangeKeeper, view: MemberView, service: str, owner: Owner) -> bool:
+def has_owner_ended(keeper: RangeManager, view: MemberView, service: str, owner: Owner) -> bool:
     """Say whether a run is held to have ended: enough to ask others, never to run its keys."""
     if owner == keeper.me:
         return False
-    held, member = keeper.map_of(service), view.find(owner.instance)
+    held, member = keeper.range_map_of(service), view.find(owner.instance)
     superseded = held is not None and held.is_superseded(owner)
     return (
-        superseded or owner.instance == keeper.me.instance or (member is not None and member.gone)
+        superseded
+        or owner.instance == keeper.me.instance
+        or (member is not None and member.is_gone)
     )
 
 
 def find_next_owner(
-    keeper: RangeKeeper,
+    keeper: RangeManager,
     view: MemberView,
     service: str,
     key: TimestampedKey,
@@ -58,7 +60,7 @@
 
     One that is ``leaving`` itself looks for another one.
     """
-    for interval in keeper.later(service, key):
+    for interval in keeper.later_intervals(service, key):
         owner = interval.owner
         if leaving and owner == keeper.me:
             continue
@@ -68,7 +70,7 @@
 
 
 async def hand_over_keys(
-    tables: Tables, keeper: RangeKeeper, view: MemberView, links: PeerLinks
+    tables: Tables, keeper: RangeManager, view: MemberView, links: PeerLinks
 ) -> HandoverResult:
     """Give all tables away, piece by piece; only after this node has stopped accepting keys."""
     plans: dict[tuple[str, str], list[KeyRecord[Reply]]] = {}
@@ -105,7 +107,7 @@
     logger.info('keys handed over', extra={'taken': handed.taken, 'left': handed.not_taken})
 
 
-def _heir_of_text(keeper: RangeKeeper, view: MemberView, service: str, text: str) -> Owner | None:
+def _heir_of_text(keeper: RangeManager, view: MemberView, service: str, text: str) -> Owner | None:
     match parse_key(text):
         case Ok(TimestampedKey() as key):
             return find_next_owner(keeper, view, service, key, leaving=True)
--- a/dunlinsaddle/calls/idempotency.py
+++ b/dunlinsaddle/calls/idempotency.py
@@ -15,9 +15,9 @@
 from dunlinsaddle.calls.messages import Call, Lost, NotSent, Reply, refusal
 from dunlinsaddle.calls.owned_keys import OwnedKeys
 from dunlinsaddle.errors import ErrorKind, Failure
+from dunlinsaddle.key_ownership.claims import claim_key
+from dunlinsaddle.key_ownership.range_manager import RangeManager
 from dunlinsaddle.membership.view import Member, MemberView
-from dunlinsaddle.once.keeper import RangeKeeper
-from dunlinsaddle.once.opaque import claim_key
 from dunlinsaddle.policy.key_table import KeyTable
 from dunlinsaddle.policy.keys import (
     RANGE_COUNT,
@@ -62,7 +62,7 @@
 
     def __init__(
         self,
-        keeper: RangeKeeper,
+        keeper: RangeManager,
         view: MemberView,
         router: Router,
         links: PeerLinks,
@@ -107,17 +107,17 @@
 
     async def mint_key(self, service: str) -> TimestampedKey:
         """Make a key that a node which can be reached owns now, for a caller to send."""
-        if self.keeper.map_of(service) is None:
+        if self.keeper.range_map_of(service) is None:
             await self.keeper.refresh(service)
         return self._mint_key(service, set())
 
     def status(self, service: str) -> dict[str, Any]:
         """Give what an operator wants to know of the keys here; times in seconds."""
-        holding = self.keeper.holding(service)
-        age = holding.platform_age
+        owned_ranges = self.keeper.owned_ranges(service)
+        age = owned_ranges.platform_age
         return {
-            'ranges': holding.ranges,
-            'owned_until': holding.until and holding.until / 1000,
+            'ranges': owned_ranges.ranges,
+            'owned_until': owned_ranges.until and owned_ranges.until / 1000,
             'platform_answered_ago': age if age is None else round(age, 1),
             'held': {name: len(table) for name, table in self.tables.items()},
         }
@@ -134,7 +134,7 @@
     async def _enter_without_key(self, call: PendingCall) -> Reply:
         """Mint a key that a reachable node owns; another one if that node was never reached."""
         service = call.ctx.service
-        if self.keeper.map_of(service) is None:
+        if self.keeper.range_map_of(service) is None:
             await self.keeper.refresh(service)
         tried: set[str] = set()
         while True:
@@ -151,13 +151,13 @@
 
     def _mint_key(self, service: str, tried: set[str]) -> TimestampedKey:
         now = self.keeper.clock()
-        held = self.keeper.map_of(service) or RangeMap()
+        held = self.keeper.range_map_of(service) or RangeMap()
         ranges: dict[str, list[int]] = {}
         for number in range(RANGE_COUNT):
             interval = held.find(number, now)
             if interval is not None:
                 ranges.setdefault(interval.owner.instance, []).append(number)
-        members = [m for m in self.view.serving(service) if m.instance in ranges]
+        members = [m for m in self.view.serving_members(service) if m.instance in ranges]
         candidates = to_candidates(members)
         now_loop = asyncio.get_running_loop().time()
         chosen = self.router.choose(now_loop, candidates, frozenset(tried))
@@ -191,7 +191,7 @@
         if not way.reread and self._doubtful(service, interval, way):
             way = way._replace(reread=await self.keeper.refresh(service))
             interval = self.keeper.find(service, key)
-        elif self.keeper.stale(service):
+        elif self.keeper.is_stale(service):
             self._refresh_later(service)
         if interval is None:
             return await self._route_unowned(call, key, way)
@@ -230,13 +230,13 @@
         return owner if heir is None or heir == self.me else heir
 
     async def _own_born(self, call: PendingCall, key: TimestampedKey) -> Reply:
-        if self.keeper.accept(call.ctx.service, key):
+        if self.keeper.try_accept(call.ctx.service, key):
             return await self.owned_keys.run_once(call, key, key.birth)
         # The range is on its way to another node, and the write that says so is not settled.
         return self.owned_keys.refuse(ErrorKind.OWNER_UNREACHABLE, 'the key is being handed over')
 
     async def _route_unowned(self, call: PendingCall, key: TimestampedKey, way: KeyRoute) -> Reply:
-        held = self.keeper.map_of(call.ctx.service)
+        held = self.keeper.range_map_of(call.ctx.service)
         if held is not None and held.is_pruned(range_number(call.ctx.service, key), key.birth):
             return self.owned_keys.refuse(
                 ErrorKind.KEY_EXPIRED, 'older than all that is remembered'
@@ -248,7 +248,9 @@
         # Without any map, as after a start in an outage of the platform, others may know more.
         if way.reread or (way.fresh and held is not None):
             return self.owned_keys.refuse(ErrorKind.OWNER_UNAVAILABLE, 'no node owns this key now')
-        others = [m for m in self.view.serving(call.ctx.service) if m.instance != self.me.instance]
+        others = [
+            m for m in self.view.serving_members(call.ctx.service) if m.instance != self.me.instance
+        ]
         if not others or way.asked >= MAX_OWNER_HOPS:
             kind = ErrorKind.OWNER_UNAVAILABLE if way.fresh else ErrorKind.OWNER_UNREACHABLE
             return self.owned_keys.refuse(kind, 'no node here knows the owner')
--- a/dunlinsaddle/calls/owned_keys.py
+++ b/dunlinsaddle/calls/owned_keys.py
@@ -98,7 +98,7 @@
         tried = {self.me.instance}
         while _goes_on(reply) and len(tried) <= MAX_HANDED_ON:
             now = asyncio.get_running_loop().time()
-            members = {m.instance: m for m in self.view.serving(call.ctx.service)}
+            members = {m.instance: m for m in self.view.serving_members(call.ctx.service)}
             candidates = to_candidates(members.values())
             chosen = self.calls.router.choose(now, candidates, frozenset(tried))
             if chosen is None or not call.allowance.spend():
--- a/dunlinsaddle/environment.py
+++ b/dunlinsaddle/environment.py
@@ -8,7 +8,7 @@
 from random import Random
 from typing import TextIO
 
-from dunlinsaddle.membership.transport import Opener, open_udp
+from dunlinsaddle.membership.transport import TransportFactory, open_udp
 
 
 @dataclass
@@ -26,7 +26,7 @@
         default=lambda: time.clock_gettime(time.CLOCK_BOOTTIME)
     )
     rng: Random = field(default_factory=Random)
-    open_gossip: Opener = open_udp
+    open_gossip: TransportFactory = open_udp
 
     def report(self, message: str) -> None:
         """Tell a person what went wrong, in one line."""
--- a/dunlinsaddle/once/opaque.py
+++ b/dunlinsaddle/key_ownership/claims.py
@@ -10,7 +10,7 @@
 from dunlinsaddle.policy.keys import OpaqueKey
 from dunlinsaddle.policy.ownership import Owner
 
-CLAIMS = 'once-keys'
+CLAIM_KIND = 'once-keys'
 
 
 class Claim(NamedTuple):
@@ -30,12 +30,12 @@
     """
     name = f'{service}.{key.object_name}'
     wanted = Claim(me, clock())
-    match await store.put(CLAIMS, name, msgspec.to_builtins(wanted), ABSENT):
+    match await store.put(CLAIM_KIND, name, msgspec.to_builtins(wanted), ABSENT):
         case Ok(_):
             return wanted
         case Err(Conflict(current)):
             return _claim_of(current)
-    match await store.get(CLAIMS, name):
+    match await store.get(CLAIM_KIND, name):
         case Ok(current):
             return _claim_of(current)
     return None
--- a/dunlinsaddle/once/place.py
+++ b/dunlinsaddle/key_ownership/host_identity.py
@@ -10,7 +10,7 @@
 _NAMESPACES = (Path('/proc/self/ns/net'), Path('/proc/self/ns/time'))
 
 
-def host_of(peers: Address) -> str:
+def host_identity(peers: Address) -> str:
     """Name the place of a configured peers face; empty where that would prove nothing.
 
     The address alone is not enough. A loopback address is on each machine, and an address can
--- a/dunlinsaddle/membership/digests.py
+++ b/dunlinsaddle/membership/digests.py
@@ -55,7 +55,7 @@
     The dead add nothing, as each node concludes and forgets them at a time of its own; the
     suspected count as alive, as suspicions come and go faster than views are compared.
     """
-    if member.gone:
+    if member.is_gone:
         return 0
     draining = member.state == State.DRAINING
     return xxh32_intdigest(f'{member.instance}:{member.incarnation}:{draining:d}'.encode())
--- a/dunlinsaddle/membership/member.py
+++ b/dunlinsaddle/membership/member.py
@@ -33,11 +33,11 @@
     gossip: Address
 
     @property
-    def serving(self) -> bool:
+    def is_serving(self) -> bool:
         """Whether new work may be sent there."""
         return self.state in (State.ALIVE, State.SUSPECT) and bool(self.service)
 
     @property
-    def gone(self) -> bool:
+    def is_gone(self) -> bool:
         """Whether it is held to run no longer."""
         return self.state in (State.DEAD, State.LEFT)
--- a/dunlinsaddle/membership/sync.py
+++ b/dunlinsaddle/membership/sync.py
@@ -4,45 +4,51 @@
 from itertools import islice, takewhile
 from random import Random
 
-from dunlinsaddle.membership.departed import Departed
-from dunlinsaddle.membership.messages import PAGE_BYTES, Sync, Word, size_of, word_of
-from dunlinsaddle.membership.rumors import Budget
-from dunlinsaddle.membership.tuning import GossipSizes, GossipTimes
+from dunlinsaddle.membership.messages import (
+    SYNC_PAGE_BYTES,
+    MemberUpdate,
+    Sync,
+    encoded_size,
+    update_of,
+)
+from dunlinsaddle.membership.rumors import ByteBudget
+from dunlinsaddle.membership.tombstones import Tombstones
+from dunlinsaddle.membership.tuning import GossipLimits, GossipTimes
 from dunlinsaddle.membership.view import Member, MemberView
 from dunlinsaddle.pieces import cut_pieces
 from dunlinsaddle.settings import Address
 
 
-class Exchange:
+class SyncResponder:
     """What a node tells one whose view differs from its own."""
 
     def __init__(
         self,
         view: MemberView,
         rng: Random,
-        budget: Budget,
-        departed: Departed,
-        sizes: GossipSizes,
+        budget: ByteBudget,
+        tombstones: Tombstones,
+        sizes: GossipLimits,
     ) -> None:
         self.view = view
         self.rng = rng
         self.budget = budget
-        self.departed = departed
+        self.tombstones = tombstones
         self.sizes = sizes
 
-    def differing(self, sync: Sync) -> set[int]:
+    def differing_buckets(self, sync: Sync) -> set[int]:
         """Give the buckets that differ from those of the sender."""
         mine = self.view.digests.numbers()
         if len(sync.digests) != len(mine):
             return set()
         return {i for i, digest in enumerate(mine) if digest != sync.digests[i]}
 
-    def pages(self, now: float, differing: set[int]) -> Iterator[list[Word]]:
+    def build_pages(self, now: float, differing: set[int]) -> Iterator[list[MemberUpdate]]:
         """Give words on the members of these buckets, a message each, as the budget allows."""
         members = self._in_order(differing)
-        words = (word_of(m, age=self.departed.age(now, m.instance)) for m in members)
-        pages = islice(cut_pieces(words, size_of, PAGE_BYTES), self.sizes.pages)
-        return takewhile(lambda page: self.budget.spend(sum(map(size_of, page))), pages)
+        words = (update_of(m, age=self.tombstones.age(now, m.instance)) for m in members)
+        pages = islice(cut_pieces(words, encoded_size, SYNC_PAGE_BYTES), self.sizes.max_sync_pages)
+        return takewhile(lambda page: self.budget.try_spend(sum(map(encoded_size, page))), pages)
 
     def _in_order(self, differing: set[int]) -> Iterator[Member]:
         """Give the members of differing buckets, whole buckets one after the other.
@@ -57,58 +63,63 @@
             yield from members
 
 
-class SyncTurns:
+class SyncSchedule:
     """When a node compares its view with others next, and with whom."""
 
-    def __init__(self, rng: Random, times: GossipTimes, sizes: GossipSizes) -> None:
+    def __init__(self, rng: Random, times: GossipTimes, sizes: GossipLimits) -> None:
         self.rng = rng
         self.times = times
         self.sizes = sizes
-        self.at = 0.0
+        self.next_at = 0.0
         self.seeds: set[Address] = set()
         self._contacts: set[Address] = set()
-        self._young_until = 0.0
-        self._joining = False
+        self._joining_until = 0.0
+        self._sync_with_several = False
 
     @property
-    def count(self) -> int:
+    def peer_count(self) -> int:
         """How many members are asked at the next turn."""
-        return self.sizes.join if self._joining else 1
+        return self.sizes.join_sync_fanout if self._sync_with_several else 1
 
-    def contact(self, now: float, addresses: set[Address]) -> None:
+    def add_contacts(self, now: float, addresses: set[Address]) -> None:
         """Turn soon, also to these."""
         self._contacts |= addresses
         if self._contacts:
-            self.at = now
+            self.next_at = now
 
-    def join(self, now: float) -> None:
+    def schedule_join(self, now: float) -> None:
         """Turn now, to several: much may have been missed."""
-        self._joining = True
-        self.at = now
+        self._sync_with_several = True
+        self.next_at = now
 
-    def again_if_young(self, now: float, differing: int) -> None:
+    def resync_if_joining(self, now: float, differing: int) -> None:
         """Turn again soon while this node has only just met the others.
 
         Several are asked only while much of the view differs, in ``differing`` buckets. Among
         hundreds some member always changes, so that some bucket always differs: each node of a
         fleet that had just started asked six others twice a second for its first minute.
         """
-        if now >= self._young_until:
+        if now >= self._joining_until:
             return
-        if differing >= self.sizes.much:
-            self._joining = True
-            self.at = min(self.at, now + self.times.sync_again)
+        if differing >= self.sizes.join_threshold_buckets:
+            self._sync_with_several = True
+            self.next_at = min(self.next_at, now + self.times.join_sync_interval)
         else:
-            self.at = min(self.at, now + self.times.sync_young)
+            self.next_at = min(self.next_at, now + self.times.young_sync_interval)
 
-    def take(self, now: float, me: Address, others: list[Address]) -> list[Address]:
-        """Give whom to ask at this turn, and set the next; ``others`` are ``count`` members."""
-        self._joining = False
+    def next_peers(self, now: float, me: Address, others: list[Address]) -> list[Address]:
+        """Return the addresses to sync with now, and schedule the next round.
+
+        ``others`` are ``peer_count`` members chosen at random.
+        """
+        self._sync_with_several = False
         if not others:
-            self._young_until = now + self.times.young
+            self._joining_until = now + self.times.join_period
             self._contacts |= self.seeds - {me}
-        few = self.rng.sample(sorted(self._contacts), min(len(self._contacts), self.sizes.relays))
+        few = self.rng.sample(
+            sorted(self._contacts), min(len(self._contacts), self.sizes.indirect_probes)
+        )
         self._contacts.clear()
-        period = self.times.sync if others else self.times.probe
-        self.at = now + period * self.rng.uniform(0.8, 1.2)
+        period = self.times.sync_interval if others else self.times.probe_interval
+        self.next_at = now + period * self.rng.uniform(0.8, 1.2)
         return [*others, *few]
--- a/dunlinsaddle/membership/transport.py
+++ b/dunlinsaddle/membership/transport.py
@@ -9,7 +9,7 @@
 
 from dunlinsaddle.settings import Address
 
-Receiver = Callable[[bytes], None]
+DatagramHandler = Callable[[bytes], None]
 
 
 class Transport(Protocol):
@@ -24,13 +24,13 @@
         """Stop listening."""
 
 
-Opener = Callable[[Address, Receiver], Awaitable[Transport]]
+TransportFactory = Callable[[Address, DatagramHandler], Awaitable[Transport]]
 
 
 class UdpTransport(asyncio.DatagramProtocol):
     """Datagrams through one socket."""
 
-    def __init__(self, receiver: Receiver) -> None:
+    def __init__(self, receiver: DatagramHandler) -> None:
         self.receiver = receiver
         self.address: Address
         self._transport: asyncio.DatagramTransport
@@ -59,7 +59,7 @@
         self._transport.close()
 
 
-async def open_udp(address: Address, receiver: Receiver) -> Transport:
+async def open_udp(address: Address, receiver: DatagramHandler) -> Transport:
     """Listen on an address. Raises OSError when it is taken."""
     loop = asyncio.get_running_loop()
     _, protocol = await loop.create_datagram_endpoint(
--- a/dunlinsaddle/membership/view.py
+++ b/dunlinsaddle/membership/view.py
@@ -20,7 +20,7 @@
         self._members: dict[str, Member] = {}
         self._serving: dict[str, list[Member]] = {}
 
-    def take(self, member: Member) -> bool:
+    def merge(self, member: Member) -> bool:
         """Take a word on an instance if it is newer; say whether it was."""
         held = self._members.get(member.instance)
         if held is not None and _order(held) >= _order(member):
@@ -42,7 +42,7 @@
         """Give the newest word on one instance."""
         return self._members.get(instance)
 
-    def serving(self, service: str) -> list[Member]:
+    def serving_members(self, service: str) -> list[Member]:
         """Give the instances whose targets may be given work of a service.
 
         Suspected ones only where no other is left: after a cut all of a service may be
@@ -51,7 +51,7 @@
         # Asked once a call: a scan of all members at each would grow with the fleet.
         held = self._serving.get(service)
         if held is None:
-            able = [m for m in self._members.values() if m.service == service and m.serving]
+            able = [m for m in self._members.values() if m.service == service and m.is_serving]
             held = [m for m in able if m.state == State.ALIVE] or able
             self._serving[service] = held
         return held
@@ -60,7 +60,7 @@
         """Give all, the dead too."""
         return self._members.values()
 
-    def drop(self, instance: str) -> None:
+    def remove(self, instance: str) -> None:
         """Forget an instance that has long gone."""
         held = self._members.pop(instance, None)
         if held is None:
--- a/dunlinsaddle/mesh/heartbeat_endpoint.py
+++ b/dunlinsaddle/mesh/heartbeat_endpoint.py
@@ -1,15 +1,18 @@
 """HTTP endpoint for the heartbeats of the local target."""
+
 import asyncio
 import logging
 import math
 from collections.abc import Callable
+
+from result import Err, Ok
+
 from dunlinsaddle.calls.http import HttpRequest, HttpResponse
 from dunlinsaddle.calls.target import LocalTarget
 from dunlinsaddle.mesh.heartbeats import Deregistration, Heartbeat, HeartbeatTracker
 from dunlinsaddle.platform.heartbeats import acknowledgement, read_heartbeat, rejection
 from dunlinsaddle.policy.slots import SlotAdmission
 from dunlinsaddle.settings import Address
-from result import Err, Ok
 
 
 class HeartbeatEndpoint:
--- a/dunlinsaddle/mesh/level_gossip.py
+++ b/dunlinsaddle/mesh/level_gossip.py
@@ -51,7 +51,7 @@
                 self._rounds_left -= 1
             else:
                 continue
-            self.agent.tell_level(level)
+            self.agent.send_level(level)
 
     def receive(self, service: str, level: float) -> None:
         """Record the level that another node sent for its target."""
--- a/dunlinsaddle/mesh/node.py
+++ b/dunlinsaddle/mesh/node.py
@@ -23,8 +23,8 @@
 from dunlinsaddle.environment import Environment
 from dunlinsaddle.loops import OnLoop
 from dunlinsaddle.membership.agent import GossipAgent
-from dunlinsaddle.membership.keepers import Watchers
-from dunlinsaddle.membership.roster import Bootstrap, Roster
+from dunlinsaddle.membership.coordinators import StoreWatchers
+from dunlinsaddle.membership.roster import Bootstrap, RosterStore
 from dunlinsaddle.membership.tuning import GossipTimes
 from dunlinsaddle.membership.view import Member, MemberView, State
 from dunlinsaddle.mesh.heartbeat_endpoint import HeartbeatEndpoint
@@ -76,7 +76,7 @@
 #: A node that restarts while the store is unavailable is found by its peers, which ping it again:
 #: twelve peers with one ping per second each need less than a second. The suspicion timeout is
 #: short because a false death costs only the calls in flight: routers skip suspects anyway.
-GOSSIP_TIMES = GossipTimes(revisit=1.0, suspicion=3.0)
+GOSSIP_TIMES = GossipTimes(dead_probe_interval=1.0, suspicion_timeout=3.0)
 
 
 class ListenAddresses(NamedTuple):
@@ -145,18 +145,18 @@
         self.follower.links = self.links
         self.follower.list_peers = self._other_members
         self.follower.on_change = self._on_configuration
-        self.follower.on_store_restored = lambda: self.bootstrap.store_returned()
-        self.watchers = Watchers(self.view, cfg.domain)
+        self.follower.on_store_restored = lambda: self.bootstrap.refresh_soon()
+        self.watchers = StoreWatchers(self.view, cfg.domain)
         self.follower.should_watch = self._is_watcher
-        self.agent.gossip.on_news = self.follower.handle_peer_version
+        self.agent.gossip.on_configuration_version = self.follower.handle_peer_version
         self.ledger = QuotaLedger(
             cfg.limits.quota_slack, cfg.limits.quota_window_seconds, cfg.limits.quota_overage
         )
-        peers = GossipPeers(self.agent, self.view, lambda: self.bootstrap.strangers)
+        peers = GossipPeers(self.agent, self.view, lambda: self.bootstrap.unconfirmed_count)
         self.quotas = QuotaCoordinator(
             cfg.instance, peers, self.ledger, self.follower.find_organisation
         )
-        self.agent.on_quota = self.quotas.handle_message
+        self.agent.on_quota_message = self.quotas.handle_message
         self.peer_server.on_records = self.follower.answer_peer
         self.crash_notifier = CrashNotifier(
             self.links, self.quarantine, self._other_members, self.logger
@@ -248,7 +248,7 @@
             await self.metrics_listener.listen(cfg.metrics),
         )
         self.agent.start(self.local_member())
-        roster = Roster(self.store, cfg.domain)
+        roster = RosterStore(self.store, cfg.domain)
         self.bootstrap = Bootstrap(roster, self.agent.gossip, self._new_rng())
         delays = startup_delays(self._new_rng(), first_start=cfg.first_start)
         membership_known_at = self.now() + delays.membership
@@ -322,7 +322,7 @@
         )
 
     async def _handle_readiness(self, req: HttpRequest) -> HttpResponse:
-        ready = self.follower.version > 0 and self.bootstrap.settled and not self.is_stopping
+        ready = self.follower.version > 0 and self.bootstrap.is_settled and not self.is_stopping
         return HttpResponse(200 if ready else 503, [], b'')
 
     async def _handle_metrics(self, req: HttpRequest) -> HttpResponse:
@@ -340,13 +340,13 @@
 
     def _other_members(self) -> list[Member]:
         own_instance = self.settings.instance
-        return [m for m in self.view.members() if m.instance != own_instance and not m.gone]
+        return [m for m in self.view.members() if m.instance != own_instance and not m.is_gone]
 
     def _on_configuration(self, new_configuration: Configuration) -> None:
         # Each of the three watchers notifies its whole domain, as datagrams may be lost.
         domain = self.settings.domain if self._is_watcher() else None
         domain_members = [m for m in self._other_members() if m.domain == domain]
-        self.agent.tell_news(new_configuration.version, domain_members)
+        self.agent.announce_configuration(new_configuration.version, domain_members)
         limits = new_configuration.limits
         self.callers_listener.limits = HttpLimits(
             limits.header_bytes,
--- a/dunlinsaddle/mesh/target_protocol.py
+++ b/dunlinsaddle/mesh/target_protocol.py
@@ -1,4 +1,5 @@
 """HTTP protocol that the platform's targets expect: request headers and response checks."""
+
 from dunlinsaddle.calls.call_state import PendingCall, RunningCall
 from dunlinsaddle.calls.http import HttpResponse
 from dunlinsaddle.calls.messages import Headers, Reply
--- a/dunlinsaddle/metrics.py
+++ b/dunlinsaddle/metrics.py
@@ -150,7 +150,7 @@
         'dunlinsaddle.key_ranges',
         '{range}',
         'Key ranges of its service that this node owns.',
-        lambda: [(gate.keeper.holding(service()).ranges, {})],
+        lambda: [(gate.keeper.owned_ranges(service()).ranges, {})],
     )
     metrics.gauge(
         'dunlinsaddle.keys_held',
--- a/dunlinsaddle/node.py
+++ b/dunlinsaddle/node.py
@@ -25,14 +25,14 @@
 from dunlinsaddle.calls.peer_server import PeerServer
 from dunlinsaddle.calls.target import LocalTarget
 from dunlinsaddle.environment import Environment
+from dunlinsaddle.key_ownership.host_identity import host_identity
+from dunlinsaddle.key_ownership.local_ranges import LocalRangeUpdater, LocalService
+from dunlinsaddle.key_ownership.range_manager import MonotonicWallClock, RangeManager
 from dunlinsaddle.membership.agent import GossipAgent
-from dunlinsaddle.membership.liveness import TargetWatch
-from dunlinsaddle.membership.roster import Bootstrap, Roster
+from dunlinsaddle.membership.liveness import TargetMonitor
+from dunlinsaddle.membership.roster import Bootstrap, RosterStore
 from dunlinsaddle.membership.view import Member, MemberView, State
 from dunlinsaddle.metrics import Metrics, Values, observe_keys, observe_records, observe_stats
-from dunlinsaddle.once.keeper import RangeKeeper, SteadyClock
-from dunlinsaddle.once.local import LocalRanges, Served
-from dunlinsaddle.once.place import host_of
 from dunlinsaddle.operated import Faces
 from dunlinsaddle.platform.client import HttpObjectStore
 from dunlinsaddle.platform.store import ObjectStore
@@ -72,7 +72,7 @@
         self.store: ObjectStore = HttpObjectStore(settings.platform, self.platform_client)
         rng = Random(env.rng.random())
         self.agent = GossipAgent(self.view, settings.peer_key, rng, settings.seeds)
-        self.target_watch = TargetWatch()
+        self.target_watch = TargetMonitor()
         link_limits = LinkLimits(max_body_bytes=settings.max_body_bytes)
         self.links = PeerLinks(settings.peer_key, settings.instance, link_limits)
         self.admission = Admission()
@@ -108,11 +108,11 @@
 
     def _build_once(self, router: Router) -> None:
         me = Owner(self.settings.instance, secrets.token_hex(6))
-        clock = SteadyClock(self.env.wall_clock)
+        clock = MonotonicWallClock(self.env.wall_clock)
         rng = Random(self.env.rng.random())
         horizon = int(self.settings.range_horizon * 1000)
         self.clock = clock
-        self.keeper = RangeKeeper(self.store, me, clock.now, rng, horizon)
+        self.keeper = RangeManager(self.store, me, clock.now, rng, horizon)
         self.once = IdempotencyRouter(
             self.keeper,
             self.view,
@@ -124,10 +124,10 @@
             self._key_window,
         )
         self.dispatcher.idempotency_router = self.once
-        self.ranges = LocalRanges(self.keeper, self.view, self._served)
+        self.ranges = LocalRangeUpdater(self.keeper, self.view, self._served)
 
-    def _served(self) -> Served:
-        return Served(self.target.service, self.target.draining)
+    def _served(self) -> LocalService:
+        return LocalService(self.target.service, self.target.draining)
 
     def _key_window(self, service: str) -> float:
         record = self.book.find(service)
@@ -199,11 +199,11 @@
             await self.operators_http.listen(cfg.operators),
             await self.agent.listen(self.env.open_gossip, cfg.gossip),
         )
-        host = host_of(cfg.peers)
+        host = host_identity(cfg.peers)
         if host:
-            self.keeper.place = ListenerIdentity(host, self.clock.zero())
+            self.keeper.listener = ListenerIdentity(host, self.clock.loop_epoch())
         self.agent.start(self.me())
-        roster = Roster(self.store, cfg.domain)
+        roster = RosterStore(self.store, cfg.domain)
         bootstrap = Bootstrap(roster, self.agent.gossip, Random(self.env.rng.random()))
         self._spawn(self.agent.run())
         self._spawn(bootstrap.run())
@@ -219,7 +219,7 @@
         self.local.target_changed.set()
         self.callers_http.start_closing()
         # Not awaited here: a platform that is out must not hold up the drain.
-        handing_over = asyncio.create_task(self.ranges.keep())
+        handing_over = asyncio.create_task(self.ranges.update())
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(self.settings.drain_timeout):
                 # Callers and routers with an old view still come here for a moment: they
@@ -282,7 +282,7 @@
 
     def _warned_of_deaths(self) -> list[Member]:
         """Give the nodes beside the other targets of this service."""
-        serving = self.view.serving(self.target.service)
+        serving = self.view.serving_members(self.target.service)
         return [m for m in serving if m.instance != self.settings.instance]
 
     def _target_started(self) -> None:
@@ -335,7 +335,7 @@
                     await self.local.target_changed.wait()
             if self.local.target_changed.is_set():
                 self.local.target_changed.clear()
-                self.target_watch.heard(loop.time())
+                self.target_watch.record_announcement(loop.time())
             elif await self._target_gone(loop.time()):
                 self.logger.warning('target gone', extra={'service': self.target.service})
                 self.target.clear()
@@ -346,4 +346,4 @@
         address = self.target.address
         if address is None or self.target.node_draining:
             return False
-        return await self.target_watch.gone(now, address)
+        return await self.target_watch.is_gone(now, address)
--- a/dunlinsaddle/queries.py
+++ b/dunlinsaddle/queries.py
@@ -4,7 +4,7 @@
 from typing import Any
 
 from dunlinsaddle.explain import Explanation, Question, explain
-from dunlinsaddle.membership.roster import entry_of
+from dunlinsaddle.membership.roster import roster_entry_of
 from dunlinsaddle.operated import Operated
 from dunlinsaddle.policy.classify import classify
 
@@ -30,7 +30,7 @@
 def known_targets(node: Operated) -> list[dict[str, Any]]:
     """Give all instances that a node knows of."""
     return [
-        {**entry_of(m), 'state': m.state.name.lower()}
+        {**roster_entry_of(m), 'state': m.state.name.lower()}
         for m in sorted(node.view.members(), key=lambda m: (m.service, m.instance))
     ]
 
@@ -43,5 +43,5 @@
     now = asyncio.get_running_loop().time()
     rule = classify(record, question['method'], question['path'])
     level = node.executor.levels.admitted_level(now, record.service, rule.name)
-    members = node.view.serving(record.service)
+    members = node.view.serving_members(record.service)
     return explain(question, record, members, node.dispatcher.router, now, int(level))
--- a/dunlinsaddle/records/topology.py
+++ b/dunlinsaddle/records/topology.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Iterable
 
-from dunlinsaddle.membership.keepers import score
+from dunlinsaddle.membership.coordinators import rendezvous_score
 from dunlinsaddle.membership.view import Member
 
 WATCHERS = 2  #: per failure domain, so that one may die unnoticed
@@ -16,7 +16,7 @@
     Nodes whose views agree choose the same ones; where views differ each chooses some, which
     is enough.
     """
-    return sorted(names, key=lambda name: score(domain, name))[:WATCHERS]
+    return sorted(names, key=lambda name: rendezvous_score(domain, name))[:WATCHERS]
 
 
 def children(root: str, names: Iterable[str], instance: str) -> list[str]:
@@ -28,7 +28,7 @@
     >>> len({c for n in names for c in children('n0', names, n)})
     8
     """
-    order = [root, *sorted({*names} - {root}, key=lambda name: score(root, name))]
+    order = [root, *sorted({*names} - {root}, key=lambda name: rendezvous_score(root, name))]
     if instance not in order:
         return []
     first = FANOUT * order.index(instance) + 1
@@ -37,7 +37,7 @@
 
 def neighbours(me: Member, others: Iterable[Member]) -> list[Member]:
     """Give a few peers, always the same ones, so that few links have to stay open."""
-    ordered = sorted(others, key=lambda m: score(me.instance, m.instance))
+    ordered = sorted(others, key=lambda m: rendezvous_score(me.instance, m.instance))
     near = [m for m in ordered if m.domain == me.domain]
     far = [m for m in ordered if m.domain != me.domain]
     return near[:NEIGHBOURS] + far[:NEIGHBOURS]
--- a/dunlinsaddle/routes/lease_renewal.py
+++ b/dunlinsaddle/routes/lease_renewal.py
@@ -1,14 +1,12 @@
 """Renews a node's proof that no newer configuration is there, for few calls to the store."""
-
 import asyncio
 import math
-from random import Random
-
 from dunlinsaddle.access.configuration_lease import ConfigurationLease
 from dunlinsaddle.loops import OnLoop
-from dunlinsaddle.membership.keepers import Watchers
+from dunlinsaddle.membership.coordinators import StoreWatchers
 from dunlinsaddle.membership.view import Member, MemberView
 from dunlinsaddle.routes.config_follower import ConfigFollower
+from random import Random
 
 RENEWAL_INTERVAL_SECONDS = 0.25  #: between two decisions whom to ask
 #: Age in seconds from which the first watcher of a domain asks the store for a proof. It bounds
@@ -42,7 +40,7 @@
         follower: ConfigFollower,
         configuration_lease: ConfigurationLease,
         view: MemberView,
-        watchers: Watchers,
+        watchers: StoreWatchers,
         instance: str,
         rng: Random,
     ) -> None:
@@ -71,23 +69,23 @@
             return
         age = self.configuration_lease.age
         if age >= OVERDUE_AGE_SECONDS:
-            await self._ask([m for m in self.view.members() if not m.gone])
+            await self._ask([m for m in self.view.members() if not m.is_gone])
         elif age >= STORE_POLL_AGE_SECONDS + WATCHER_STAGGER_SECONDS:
-            await self._ask(self.watchers.chosen())
+            await self._ask(self.watchers.members())
         else:
-            await self._ask(self.watchers.chosen()[:1])
+            await self._ask(self.watchers.members()[:1])
 
     def _asks_store(self) -> bool:
         if self.now() - self._refused_at < STORE_RETRY_SECONDS:
             return False
         age = self.configuration_lease.age
-        for place, member in enumerate(self.watchers.chosen()):
+        for place, member in enumerate(self.watchers.members()):
             if member.instance == self.instance:
                 return age >= STORE_POLL_AGE_SECONDS + place * WATCHER_STAGGER_SECONDS
         return age >= OVERDUE_AGE_SECONDS and self._falls_to_us()
 
     def _falls_to_us(self) -> bool:
-        near = sum(m.domain == self.watchers.domain and not m.gone for m in self.view.members())
+        near = sum(m.domain == self.watchers.domain and not m.is_gone for m in self.view.members())
         return self.rng.random() * near < 1
 
     async def _ask(self, members: list[Member]) -> None:
--- a/standins/scale.py
+++ b/standins/scale.py
@@ -89,7 +89,7 @@
     def report(self) -> Report:
         """Give what this process has used."""
         used = resource.getrusage(resource.RUSAGE_SELF)
-        counts = [agent.counts for agent in self.agents.values()]
+        counts = [agent.counters for agent in self.agents.values()]
         return Report(
             len(self.agents),
             time.monotonic(),
--- a/standins/stages.py
+++ b/standins/stages.py
@@ -191,7 +191,7 @@
     address = await face.listen(LOOPBACK)
     announcing = asyncio.create_task(target.announce(address))
     await asyncio.sleep(0.5)
-    entry.view.take(beside.me())
+    entry.view.merge(beside.me())
     caller = Caller()
     ways = {
         'direct': (address, '/oak/1'),
--- a/tests/fakes/mesh.py
+++ b/tests/fakes/mesh.py
@@ -1,7 +1,14 @@
 """Nodes of the platform and their targets in one event loop, with a shared fake store."""
+
 import asyncio
-import msgspec
 from collections import Counter
+from functools import partial
+from random import Random
+from typing import Any, NamedTuple
+
+import msgspec
+from result import Err
+
 from dunlinsaddle.calls.client import HttpClient
 from dunlinsaddle.calls.connection import Answered
 from dunlinsaddle.calls.http import HttpLimits, HttpRequest, HttpResponse
@@ -10,14 +17,10 @@
 from dunlinsaddle.mesh.settings import DeploymentLimits, MeshSettings
 from dunlinsaddle.platform.store import Unavailable
 from dunlinsaddle.settings import Address
-from functools import partial
-from random import Random
-from result import Err
 from tests.builders import build_configuration, build_environment, build_logger, build_route
-from tests.fakes.network import network_here
+from tests.fakes.network import current_network
 from tests.fakes.site import HOST, paused_wall_clock
 from tests.fakes.store import FakeStore
-from typing import Any, NamedTuple
 
 LIMITS = DeploymentLimits(
     drain_seconds=2.0,
@@ -217,7 +220,7 @@
         """Isolate only these nodes from all others and from the store."""
         self.isolated = names
         self.nodes_without_store = set(names)
-        network_here().silent = {self.nodes[name].settings.gossip for name in names}
+        current_network().unreachable = {self.nodes[name].settings.gossip for name in names}
 
     async def kill(self, name: str) -> None:
         """Stop a node without a notice to the others."""
--- a/tests/fakes/network.py
+++ b/tests/fakes/network.py
@@ -7,9 +7,9 @@
 from collections.abc import Callable
 from random import Random
 
-from dunlinsaddle.membership.messages import Sealer
-from dunlinsaddle.membership.protocol import Gossip, Send
-from dunlinsaddle.membership.transport import Receiver, Transport
+from dunlinsaddle.membership.messages import MessageCodec
+from dunlinsaddle.membership.protocol import GossipProtocol, OutgoingMessage
+from dunlinsaddle.membership.transport import DatagramHandler, Transport
 from dunlinsaddle.membership.tuning import GossipTimes
 from dunlinsaddle.membership.view import Member, MemberView, State
 from dunlinsaddle.settings import Address
@@ -21,13 +21,13 @@
     """All transports opened on one loop."""
 
     def __init__(self) -> None:
-        self.receivers: dict[Address, Receiver] = {}
+        self.receivers: dict[Address, DatagramHandler] = {}
         self.opened = 0
-        self.silent: set[Address] = set()  #: nothing gets from or to these
+        self.unreachable: set[Address] = set()  #: nothing gets from or to these
 
     def send(self, sender: Address, to: Address, data: bytes) -> None:
         receiver = self.receivers.get(to)
-        if receiver is not None and not self.silent & {sender, to}:
+        if receiver is not None and not self.unreachable & {sender, to}:
             asyncio.get_running_loop().call_later(0.001, receiver, data)
 
 
@@ -48,13 +48,13 @@
         self.network.receivers.pop(self.address, None)
 
 
-def network_here() -> FakeNetwork:
+def current_network() -> FakeNetwork:
     """Give the network of the running loop."""
     return _networks.setdefault(asyncio.get_running_loop(), FakeNetwork())
 
 
-async def open_in_memory(address: Address, receiver: Receiver) -> Transport:
-    network = network_here()
+async def open_in_memory(address: Address, receiver: DatagramHandler) -> Transport:
+    network = current_network()
     network.opened += 1
     if address.port == 0:
         address = address._replace(port=FIRST_PORT + network.opened)
@@ -62,7 +62,7 @@
     return FakeTransport(network, address)
 
 
-class Machines:
+class GossipSimulation:
     """Many state machines, a clock that jumps, and a network that can be cut.
 
     Every message is sealed and opened, so that its bytes are those on the wire.
@@ -72,10 +72,10 @@
         self.rng = Random(seed)
         self.times = times or GossipTimes()
         self.now = 0.0
-        self.nodes: dict[str, Gossip] = {}
+        self.nodes: dict[str, GossipProtocol] = {}
         self.paused: set[str] = set()
         self.loss = 0.0
-        self.cut: Callable[[str, str], bool] = lambda sender, receiver: False
+        self.is_cut: Callable[[str, str], bool] = lambda sender, receiver: False
         self.sent_bytes: Counter[str] = Counter()
         self.sent: Counter[str] = Counter()
         self.recorded: list[bytes] = []
@@ -83,27 +83,29 @@
         self._names: dict[Address, str] = {}
         self._events: list[tuple[float, int, str, bytes | None]] = []
         self._count = 0
-        self._sealer = Sealer('a-key-for-tests')
+        self._codec = MessageCodec('a-key-for-tests')
 
-    def add(self, name: str, *, domain: str = 'bangor-hall', incarnation: int = 1) -> Gossip:
+    def add_node(
+        self, name: str, *, domain: str = 'bangor-hall', incarnation: int = 1
+    ) -> GossipProtocol:
         address = Address('127.0.0.1', FIRST_PORT + len(self._names))
         me = Member(name, incarnation, State.ALIVE, domain, 'cut-orders', address, address)
-        node = Gossip(MemberView(), Random(self.rng.random()), self.times)
+        node = GossipProtocol(MemberView(), Random(self.rng.random()), self.times)
         node.start(self.now, me)
         self.nodes[name] = node
         self._names[address] = name
-        self._push(self.now + self.rng.random() * self.times.tick, name, None)
+        self._push(self.now + self.rng.random() * self.times.tick_interval, name, None)
         return node
 
-    def fill(self, count: int, domains: int = 1) -> None:
+    def add_nodes(self, count: int, domains: int = 1) -> None:
         """Add members that all know each other already."""
         for i in range(count):
-            self.add(f'n{i:03}', domain=f'domain-{i % domains}')
+            self.add_node(f'n{i:03}', domain=f'domain-{i % domains}')
         mes = [node.me for node in self.nodes.values()]
         for node in self.nodes.values():
             for me in mes:
-                node.view.take(me)
-            node.rumors = type(node.rumors)(node.sizes.extra_sends)
+                node.view.merge(me)
+            node.rumors = type(node.rumors)(node.sizes.extra_transmissions)
 
     def kill(self, name: str) -> None:
         del self.nodes[name]
@@ -124,7 +126,7 @@
             self.run(step)
         return self.now - began
 
-    def states(self, name: str) -> Counter[State | None]:
+    def count_states(self, name: str) -> Counter[State | None]:
         """Count what the others hold of one member."""
         found = (n.view.find(name) for k, n in self.nodes.items() if k != name)
         return Counter(m.state if m else None for m in found)
@@ -143,27 +145,27 @@
 
     def _step(self, name: str, data: bytes | None) -> None:
         if data is None and name in self.nodes:
-            self._push(self.now + self.times.tick, name, None)
+            self._push(self.now + self.times.tick_interval, name, None)
         node = self.nodes.get(name)
         if node is None or name in self.paused:
             return
         if data is None:
             self.send(name, node.tick(self.now))
             return
-        message = self._sealer.open(data)
+        message = self._codec.decode(data)
         assert message is not None
         self.send(name, node.receive(self.now, message))
 
-    def send(self, sender: str, sends: list[Send]) -> None:
+    def send(self, sender: str, sends: list[OutgoingMessage]) -> None:
         for to, message in sends:
-            data = self._sealer.seal(message)
+            data = self._codec.encode(message)
             self.sent[sender] += 1
             self.sent_bytes[sender] += len(data)
             if self.recording:
                 self.recorded.append(data)
             name = self._names.get(to, '')
             lost = self.loss and self.rng.random() < self.loss
-            if not lost and not self.cut(sender, name):
+            if not lost and not self.is_cut(sender, name):
                 self._push(self.now + self.rng.uniform(0.001, 0.004), name, data)
 
     def _push(self, at: float, name: str, data: bytes | None) -> None:
--- a/tests/fakes/records.py
+++ b/tests/fakes/records.py
@@ -128,8 +128,8 @@
         member = build_member(instance, domain=domain, peers=address)
         node = FakeNode(self, member, newest)
         for other in self.nodes.values():
-            other.view.take(member)
-            node.view.take(other.member)
+            other.view.merge(member)
+            node.view.merge(other.member)
         self.nodes[address] = node
         return node
 
--- a/tests/once_cluster.py
+++ b/tests/once_cluster.py
@@ -14,8 +14,8 @@
 from dunlinsaddle.calls.idempotency import IdempotencyRouter
 from dunlinsaddle.calls.messages import Call, KeysPush, Lost, NotSent, Reply, refusal
 from dunlinsaddle.errors import ErrorKind, Failure, Outcome
+from dunlinsaddle.key_ownership.range_manager import MonotonicWallClock, RangeManager
 from dunlinsaddle.membership.view import Member, MemberView, State
-from dunlinsaddle.once.keeper import RangeKeeper, SteadyClock
 from dunlinsaddle.platform.store import StoredObject, Unavailable
 from dunlinsaddle.policy.keys import generate_key, parse_key, range_number
 from dunlinsaddle.policy.ownership import ListenerIdentity, Owner, decode_range_map
@@ -58,17 +58,19 @@
         self.name = name
         self.loop = asyncio.get_running_loop()
         wall = EPOCH_MS / 1000 + self.loop.time() + skew
-        clock = SteadyClock(lambda: wall)
+        clock = MonotonicWallClock(lambda: wall)
         rng = Random(sum(name.encode()))
-        self.keeper = RangeKeeper(cluster.store, Owner(name, epoch), clock.now, rng)
-        self.keeper.place = ListenerIdentity(f'{name} at {cluster.moves[name]}', clock.zero())
+        self.keeper = RangeManager(cluster.store, Owner(name, epoch), clock.now, rng)
+        self.keeper.listener = ListenerIdentity(
+            f'{name} at {cluster.moves[name]}', clock.loop_epoch()
+        )
         self.view = MemberView()
         self.refuses: ErrorKind | None = None
         self.fails: ErrorKind | None = None
         self.seconds = 0.0
         self.leaving = False
         for other in NAMES:
-            self.view.take(cluster.member(other))
+            self.view.merge(cluster.member(other))
         links: Any = SimpleNamespace(call=self.call, push_keys=self.push_keys)
         self.links = links
         executor: Any = SimpleNamespace(execute=self.execute)
@@ -113,7 +115,7 @@
         await self.gate.wait_idle()
         await hand_over_keys(self.gate.tables, self.keeper, self.view, self.links)
         for node in self.cluster.nodes.values():
-            node.view.take(self.cluster.member(self.name)._replace(state=State.LEFT))
+            node.view.merge(self.cluster.member(self.name)._replace(state=State.LEFT))
 
     async def execute(self, call: PendingCall) -> Reply:
         reply = await self.run_target(call.ctx.key)
@@ -134,7 +136,7 @@
         return await self.gate.handle(call)
 
     async def tick(self) -> None:
-        serving = [m.instance for m in self.view.serving(SERVICE)]
+        serving = [m.instance for m in self.view.serving_members(SERVICE)]
         await self.keeper.tick(SERVICE, serving, leaving=self.leaving)
 
     async def send(self, key: str, **changes: Any) -> Reply:
@@ -184,7 +186,7 @@
         self.moves[name] += moved
         self.starts[name] += 1
         for node in self.nodes.values():
-            node.view.take(self.member(name))
+            node.view.merge(self.member(name))
         self.nodes[name] = self.process(self, name, f'e{self.epochs}', skew)
         return self.nodes[name]
 
--- a/tests/test_at_size.py
+++ b/tests/test_at_size.py
@@ -12,7 +12,7 @@
 from dunlinsaddle.membership.view import MemberView, State
 from dunlinsaddle.policy.route import Candidate, Router
 from tests.builders import build_member
-from tests.fakes.network import Machines
+from tests.fakes.network import GossipSimulation
 
 FLEETS = (194, 960)
 
@@ -23,8 +23,8 @@
         # anew over all members. With 194 nodes half of a node's processor time went there.
         hashed = {}
         for size in FLEETS:
-            net = Machines()
-            net.fill(size)
+            net = GossipSimulation()
+            net.add_nodes(size)
             one, other = net.nodes['n000'], net.nodes['n001']
             sync = Sync(
                 sender='n001', reply_to=other.me.gossip, digests=other.view.digests.numbers()
@@ -43,10 +43,10 @@
         for _ in range(3000):
             name = f'n{rng.randrange(200):03}'
             if rng.random() < 0.1:
-                view.drop(name)
+                view.remove(name)
                 continue
             state = rng.choice(list(State))
-            view.take(build_member(name, incarnation=rng.randrange(1, 30), state=state))
+            view.merge(build_member(name, incarnation=rng.randrange(1, 30), state=state))
         fresh = Digests()
         for member in view.members():
             fresh.replace(None, member)
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -94,7 +94,7 @@
         async def scenario() -> Reply:
             view = MemberView()
             for name in ('bangor-1', 'menai-1', 'caernarfon-1'):
-                view.take(build_member(name))
+                view.merge(build_member(name))
             known = Quarantine() if quarantine is None else quarantine
             dispatcher = Dispatcher(
                 'entry',
@@ -161,7 +161,7 @@
 
         async def scenario() -> tuple[int, int]:
             view, known = MemberView(), Quarantine()
-            view.take(build_member('bangor-1'))
+            view.merge(build_member('bangor-1'))
             router = Router('bangor-hall', Random(1))
             executor = build_executor(LiveTarget(), known)
             parts = (view, router, SlowLinks(), executor, Stats(), known)
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -1,7 +1,9 @@
 """Targets that announce in responses that they leave, while heartbeats still say ready."""
+
 import asyncio
+
 from tests.fakes.mesh import LIMITS
-from tests.fakes.mesh_load import INGRESS_NODES, LoadGenerator, TARGETS
+from tests.fakes.mesh_load import INGRESS_NODES, TARGETS, LoadGenerator
 from tests.mesh_case import MeshTest
 
 LEAVING_HEADERS = [(b'server-leaving', b'1')]
--- a/tests/test_level_gossip.py
+++ b/tests/test_level_gossip.py
@@ -6,12 +6,12 @@
 
 from testtools import TestCase
 
-from dunlinsaddle.membership.messages import Level, Sealer
+from dunlinsaddle.membership.messages import LevelReport, MessageCodec
 from dunlinsaddle.mesh.level_gossip import GOSSIP_INTERVAL_SECONDS
 from dunlinsaddle.policy.context import LOWEST_LEVEL
 from dunlinsaddle.policy.level import ChainLevels, ReportedLevel
 from tests.builders import build_member
-from tests.fakes.network import Machines
+from tests.fakes.network import GossipSimulation
 from tests.mesh_case import MeshTest
 
 ADMITTED_LEVEL = 320.0  #: admits half of the lowest rank
@@ -69,12 +69,12 @@
 class LevelGossipTest(TestCase):
     def count_received(self, count: int, targets: int) -> dict[str, int]:
         """Let the nodes of targets gossip for a second; return the messages that each node got."""
-        net = Machines(3)
-        net.fill(count, domains=5)
+        net = GossipSimulation(3)
+        net.add_nodes(count, domains=5)
         for index, node in enumerate(net.nodes.values()):
             service = 'deep' if index < targets else 'front'
             for other in net.nodes.values():
-                other.view.take(node.me._replace(incarnation=2, service=service))
+                other.view.merge(node.me._replace(incarnation=2, service=service))
             node.me = node.me._replace(incarnation=2, service=service)
         received = dict.fromkeys(net.nodes, 0)
 
@@ -86,17 +86,17 @@
             node.on_level = lambda service, level, name=name: receive(name, service, level)
         for _ in range(4):
             for name in list(net.nodes)[:targets]:
-                net.send(name, net.nodes[name].tell_level(300.0))
+                net.send(name, net.nodes[name].send_level(300.0))
             net.run(GOSSIP_INTERVAL_SECONDS)
         return received
 
     def test_an_invalid_level_is_rejected(self):
         # One such value would stay in the average that requests are refused by.
-        sealer = Sealer('a-key')
+        codec = MessageCodec('a-key')
         header = {'sender': 'n', 'reply_to': build_member().gossip}
         for level in (math.nan, math.inf, -1.0, 1e9):
-            self.assertIsNone(sealer.open(sealer.seal(Level(**header, level=level))), level)
-        self.assertIsNotNone(sealer.open(sealer.seal(Level(**header, level=300.0))))
+            self.assertIsNone(codec.decode(codec.encode(LevelReport(**header, level=level))), level)
+        self.assertIsNotNone(codec.decode(codec.encode(LevelReport(**header, level=300.0))))
 
     def test_each_node_receives_a_level_several_times_per_second(self):
         for count, targets in ((194, 50), (70, 4)):
--- a/tests/test_mesh_calls.py
+++ b/tests/test_mesh_calls.py
@@ -1,9 +1,9 @@
-
 import asyncio
 from collections import Counter
+from typing import Any
+
 from dunlinsaddle.calls.http import HttpResponse
 from tests.mesh_case import MeshTest
-from typing import Any
 
 
 class RetryTest(MeshTest):
--- a/tests/test_mesh_failures.py
+++ b/tests/test_mesh_failures.py
@@ -1,5 +1,7 @@
 """Failures of targets and nodes, as callers see them."""
+
 import asyncio
+
 from dunlinsaddle.calls.http import HttpLimits, HttpResponse
 from dunlinsaddle.calls.listener import HttpListener
 from tests.mesh_case import MeshTest
--- a/tests/test_named_rate.py
+++ b/tests/test_named_rate.py
@@ -1,5 +1,7 @@
 """Targets that announce in responses how many requests per second they accept."""
+
 import asyncio
+
 from dunlinsaddle.calls.decisions import DecisionLog
 from dunlinsaddle.calls.messages import RelayedTargetState
 from dunlinsaddle.calls.target import AdvertisedState, LocalTarget
@@ -9,7 +11,7 @@
 from standins.soak_says import allowed
 from tests.builders import build_logger
 from tests.clock import PausedClockTest
-from tests.fakes.mesh_load import INGRESS_NODES, LoadGenerator, TARGETS
+from tests.fakes.mesh_load import INGRESS_NODES, TARGETS, LoadGenerator
 from tests.mesh_case import MeshTest
 
 
--- a/tests/test_once.py
+++ b/tests/test_once.py
@@ -72,12 +72,12 @@
             await owner.send(key, fingerprint=8)
             counts = {'accepted': 1, 'repeated': 2, 'key-reused': 1}
             self.assertEqual(counts, dict(owner.gate.owned_keys.stats.keys))
-            holdings = [n.keeper.holding(SERVICE) for n in cluster.nodes.values()]
-            self.assertEqual(64, sum(holding.ranges for holding in holdings))
+            holdings = [n.keeper.owned_ranges(SERVICE) for n in cluster.nodes.values()]
+            self.assertEqual(64, sum(owned_ranges.ranges for owned_ranges in holdings))
             await asyncio.sleep(30)
-            holding = owner.keeper.holding(SERVICE)
-            self.assertGreater(holding.platform_age, 30)
-            self.assertLess(holding.until - owner.keeper.clock(), 270_000)
+            owned_ranges = owner.keeper.owned_ranges(SERVICE)
+            self.assertGreater(owned_ranges.platform_age, 30)
+            self.assertLess(owned_ranges.until - owner.keeper.clock(), 270_000)
 
         self.run_cluster(scenario)
 
@@ -177,7 +177,7 @@
             cluster.frozen.add('bangor-1')
             for name in NAMES[1:]:
                 gone = build_member('bangor-1', state=State.DEAD)
-                cluster.nodes[name].view.take(gone)
+                cluster.nodes[name].view.merge(gone)
             await cluster.settle(200)
             young = [cluster.mint() for _ in range(40)]
             for key in [old, *young]:
--- a/tests/test_roster.py
+++ b/tests/test_roster.py
@@ -2,8 +2,8 @@
 from random import Random
 
 from dunlinsaddle.membership.agent import GossipAgent
-from dunlinsaddle.membership.keepers import KEEPERS, by_hash
-from dunlinsaddle.membership.roster import ROSTERS, Bootstrap, Roster
+from dunlinsaddle.membership.coordinators import COORDINATORS_PER_DOMAIN, rank_by_hash
+from dunlinsaddle.membership.roster import ROSTERS, Bootstrap, RosterStore
 from dunlinsaddle.membership.view import Member, MemberView, State
 from dunlinsaddle.settings import Address
 from tests.builders import PEER_KEY, build_member
@@ -27,7 +27,7 @@
         incarnation = int(asyncio.get_running_loop().time() * 1000) + 1
         me = build_member(name, domain=domain, gossip=address, incarnation=incarnation)
         agent.start(me)
-        bootstrap = Bootstrap(Roster(self.store, domain), agent.gossip, rng)
+        bootstrap = Bootstrap(RosterStore(self.store, domain), agent.gossip, rng)
         self.tasks[name] = [
             asyncio.create_task(agent.run()),
             asyncio.create_task(bootstrap.run()),
@@ -74,7 +74,7 @@
         took, calls, later = self.run_paused(scenario())
         self.assertLess(took, 10)
         self.assertLess(calls, 30 * 5)
-        self.assertLess(later / 300, 3 * KEEPERS / 30 * 2)
+        self.assertLess(later / 300, 3 * COORDINATORS_PER_DOMAIN / 30 * 2)
 
     def test_a_roster_names_a_few_live_instances(self):
         async def scenario():
@@ -88,7 +88,7 @@
             for name in listed:
                 fleet.stop(name)
             await asyncio.sleep(120)
-            return listed, await Roster(fleet.store, 'bangor-hall').read(), set(fleet.agents)
+            return listed, await RosterStore(fleet.store, 'bangor-hall').read(), set(fleet.agents)
 
         listed, rosters, live = self.run_paused(scenario())
         self.assertLessEqual(len(listed), 8)
@@ -154,7 +154,7 @@
             await fleet.store.put(ROSTERS, 'bangor-hall', {'members': ['x', {'a': 1}]}, 0)
             await fleet.start('n0', 'bangor-hall')
             await asyncio.sleep(5)
-            return await Roster(fleet.store, 'bangor-hall').read()
+            return await RosterStore(fleet.store, 'bangor-hall').read()
 
         rosters = self.run_paused(scenario())
         self.assertEqual(['n0'], [m.instance for m in rosters['bangor-hall'].members])
@@ -163,7 +163,7 @@
         one, other = MemberView(), MemberView()
         members = [build_member(f'n{i}') for i in range(9)]
         for member in members:
-            one.take(member)
+            one.merge(member)
         for member in reversed(members):
-            other.take(member)
-        self.assertEqual(by_hash(one, 'bangor-hall'), by_hash(other, 'bangor-hall'))
+            other.merge(member)
+        self.assertEqual(rank_by_hash(one, 'bangor-hall'), rank_by_hash(other, 'bangor-hall'))
--- a/tests/test_shared_watch.py
+++ b/tests/test_shared_watch.py
@@ -1,10 +1,10 @@
 """A configuration reaches all nodes of a fleet through the few that watch the store."""
 import asyncio
-from dunlinsaddle.membership.keepers import KEEPERS, Watchers, by_hash
+from dunlinsaddle.membership.coordinators import COORDINATORS_PER_DOMAIN, StoreWatchers, rank_by_hash
 from dunlinsaddle.membership.view import MemberView, State
 from tests.builders import build_configuration, build_member
 from tests.fakes.mesh import Mesh
-from tests.fakes.network import Machines
+from tests.fakes.network import GossipSimulation
 from tests.mesh_case import MeshTest
 from testtools import TestCase
 
@@ -42,7 +42,7 @@
             found = self.watchers(mesh)
             return len(found), await self.change(mesh)
 
-        self.assertEqual((KEEPERS * DOMAINS, {9}), self.fleet(scenario))
+        self.assertEqual((COORDINATORS_PER_DOMAIN * DOMAINS, {9}), self.fleet(scenario))
 
     def test_calls_to_the_store_do_not_grow_with_the_nodes(self):
         # The platform counts each call, a waiting watch as one, and its rates grow more slowly
@@ -114,7 +114,7 @@
             living = [n for n in self.watchers(mesh) if n not in dead]
             return len(living), await self.change(mesh)
 
-        self.assertEqual((KEEPERS * DOMAINS, {9}), self.fleet(scenario))
+        self.assertEqual((COORDINATORS_PER_DOMAIN * DOMAINS, {9}), self.fleet(scenario))
 
     def test_a_node_that_starts_while_the_store_is_away_hears_from_its_peers(self):
         # Its callers get 503 until it knows a configuration. The peers ping its address, which
@@ -134,24 +134,24 @@
 class NewsTest(TestCase):
     def spread(self, count: int, loss: float) -> float:
         """Give the seconds until all have heard, when one watcher of each domain tells it."""
-        net = Machines(5)
-        net.fill(count, domains=5)
+        net = GossipSimulation(5)
+        net.add_nodes(count, domains=5)
         net.loss = loss
         net.run(2)
         holders: set[str] = set()
 
         def take(name: str, version: int) -> None:
             holders.add(name)
-            net.send(name, net.nodes[name].tell_news(version))
+            net.send(name, net.nodes[name].announce_configuration(version))
 
         for name, node in net.nodes.items():
-            node.on_news = lambda member, version, name=name: take(name, version)
+            node.on_configuration_version = lambda member, version, name=name: take(name, version)
         for domain in range(5):
             view = net.nodes['n000'].view
-            first = by_hash(view, f'domain-{domain}')[0].instance
+            first = rank_by_hash(view, f'domain-{domain}')[0].instance
             holders.add(first)
             near = [m for m in view.members() if m.domain == f'domain-{domain}']
-            net.send(first, net.nodes[first].tell_news(8, near))
+            net.send(first, net.nodes[first].announce_configuration(8, near))
         return net.run_until(lambda: len(holders) == count, 4, 0.05)
 
     def test_word_of_a_version_reaches_a_large_fleet_at_once(self):
@@ -167,19 +167,19 @@
     def test_a_suspected_watcher_is_replaced_at_once(self):
         view = MemberView()
         for index in range(8):
-            view.take(build_member(f'n{index}', domain='d'))
-        watchers = Watchers(view, 'd')
+            view.merge(build_member(f'n{index}', domain='d'))
+        watchers = StoreWatchers(view, 'd')
         chosen = [name for name in (f'n{i}' for i in range(8)) if watchers.includes(name)]
-        self.assertEqual(KEEPERS, len(chosen))
+        self.assertEqual(COORDINATORS_PER_DOMAIN, len(chosen))
         suspected = view.find(chosen[0])._replace(state=State.SUSPECT)
-        view.take(suspected)
+        view.merge(suspected)
         after = [name for name in (f'n{i}' for i in range(8)) if watchers.includes(name)]
         self.assertNotIn(chosen[0], after)
-        self.assertEqual(KEEPERS, len(after))
+        self.assertEqual(COORDINATORS_PER_DOMAIN, len(after))
 
     def test_where_all_of_a_domain_leave_some_still_watch(self):
         view = MemberView()
         for index in range(4):
-            view.take(build_member(f'n{index}', domain='d', state=State.DRAINING))
-        watchers = Watchers(view, 'd')
-        self.assertEqual(KEEPERS, sum(watchers.includes(f'n{i}') for i in range(4)))
+            view.merge(build_member(f'n{index}', domain='d', state=State.DRAINING))
+        watchers = StoreWatchers(view, 'd')
+        self.assertEqual(COORDINATORS_PER_DOMAIN, sum(watchers.includes(f'n{i}') for i in range(4)))
--- a/tests/test_sync.py
+++ b/tests/test_sync.py
@@ -162,7 +162,7 @@
             before = node.sync.watchers()
             for other in fleet.nodes.values():
                 if other.member.instance in before:
-                    node.view.take(other.member._replace(state=State.DEAD))
+                    node.view.merge(other.member._replace(state=State.DEAD))
             return before, node.sync.watchers(), node.member.instance
 
         before, after, me = self.run_paused(scenario())
@@ -332,8 +332,8 @@
             await near.put(RECORDS, 'cut-orders', {'record': build_document()}, 0)
             await one.start()
             await two.start()
-            one.view.take(two.me())
-            two.view.take(one.me())
+            one.view.merge(two.me())
+            two.view.merge(one.me())
             await asyncio.sleep(3)
             first = two.book.version('cut-orders')
             await near.put(RECORDS, 'cut-orders', {'record': build_document()}, 1)
@@ -386,7 +386,7 @@
                 fresh[-1].start()
                 node.kill()
                 for other in fleet.nodes.values():
-                    other.view.take(node.member._replace(state=State.LEFT))
+                    other.view.merge(node.member._replace(state=State.LEFT))
                 await asyncio.sleep(1 / len(old))
             await asyncio.sleep(10)
             versions = {n.book.version('cut-orders') for n in fresh}
