--- a/dunlinsaddle/access/lender_client.py
+++ b/dunlinsaddle/access/lender_client.py
@@ -1,12 +1,14 @@
 """Questions to the lenders of quotas, and which of them have been silent."""
+
 import asyncio
 import math
 import secrets
 from collections.abc import Coroutine
+from typing import Any, Protocol
+
 from dunlinsaddle.loops import OnLoop
 from dunlinsaddle.membership.messages import QuotaMessage, QuotaRequest, QuotaResponse, QuotaStatus
 from dunlinsaddle.policy.quota import Granted, QuotaDecision, RetryLater
-from typing import Any, Protocol
 
 #: Seconds after which a question is sent once more: datagrams get lost, and an answer takes some
 #: milliseconds.
@@ -128,7 +130,9 @@
                 status=QuotaStatus.EXHAUSTED,
                 wait_seconds=seconds,
             )
-    return QuotaResponse(**message_header, correlation_id=ask.correlation_id, status=QuotaStatus.NOT_LENDER)
+    return QuotaResponse(
+        **message_header, correlation_id=ask.correlation_id, status=QuotaStatus.NOT_LENDER
+    )
 
 
 def _verdict_of(answer: QuotaResponse | None) -> QuotaDecision | None:
--- a/dunlinsaddle/access/peers.py
+++ b/dunlinsaddle/access/peers.py
@@ -1,10 +1,12 @@
 """The other nodes, as the lenders of quotas see them."""
+
 from collections.abc import Callable
+from typing import Any
+
 from dunlinsaddle.loops import OnLoop
 from dunlinsaddle.membership.agent import GossipAgent
 from dunlinsaddle.membership.messages import QuotaMessage
 from dunlinsaddle.membership.view import MemberView, State
-from typing import Any
 
 #: Seconds for which a dead node counts as one that may still lend behind a cut. Later it is taken
 #: as gone, and the others lend what was its part.
--- a/dunlinsaddle/access/quotas.py
+++ b/dunlinsaddle/access/quotas.py
@@ -1,16 +1,19 @@
 """Takes what requests need of their organisation's quota, from the node that lends it."""
+
 import asyncio
 import math
 from collections import OrderedDict
 from collections.abc import Callable
+from typing import NamedTuple
+
+from result import Err, Ok, Result
+
 from dunlinsaddle.access.lender_client import LenderClient, QuotaPeers, build_answer
 from dunlinsaddle.errors import ErrorKind, Failure
 from dunlinsaddle.loops import OnLoop
 from dunlinsaddle.membership.messages import QuotaMessage, QuotaRequest, QuotaResponse, QuotaReturn
 from dunlinsaddle.policy.quota import Granted, HashRing, QuotaDecision, QuotaLedger, RetryLater
 from dunlinsaddle.routes.models import Organisation
-from result import Err, Ok, Result
-from typing import NamedTuple
 
 LENDER_TIMEOUT_SECONDS = 0.16  #: after which a lender counts as silent, and the next one is asked
 #: Seconds that a stand-in waits for the lender before it. Longer than askers do: a lender that is
--- a/dunlinsaddle/routes/config_follower.py
+++ b/dunlinsaddle/routes/config_follower.py
@@ -3,22 +3,37 @@
 A few nodes of each failure domain watch the store. Every message of the gossip tells the version
 that its sender holds, and who hears of a newer one fetches it from there.
 """
+
 import asyncio
 import logging
 import math
 from collections.abc import Callable
+from random import Random
+from typing import Any
+
+from result import Err, Ok, Result
+
 from dunlinsaddle.access.configuration_lease import ConfigurationLease
 from dunlinsaddle.calls.link import PeerLinks
-from dunlinsaddle.calls.messages import MAX_TIMEOUT_SECONDS, RecordFrame, RecordsRequest, RecordsResponse
+from dunlinsaddle.calls.messages import (
+    MAX_TIMEOUT_SECONDS,
+    RecordFrame,
+    RecordsRequest,
+    RecordsResponse,
+)
 from dunlinsaddle.loops import Backoff, OnLoop
 from dunlinsaddle.membership.view import Member
-from dunlinsaddle.platform.store import JsonValue, Listing, ObjectStore, StoredObject, Unavailable, place_of
+from dunlinsaddle.platform.store import (
+    JsonValue,
+    Listing,
+    ObjectStore,
+    StoredObject,
+    Unavailable,
+    place_of,
+)
 from dunlinsaddle.records.models import RecordEntry
 from dunlinsaddle.routes.models import Configuration, Organisation
 from dunlinsaddle.routes.table import RouteTable
-from random import Random
-from result import Err, Ok, Result
-from typing import Any
 
 #: Seconds that one watch waits, and so the longest that a change is missed after the answer to a
 #: watch was lost on an open connection, which nothing else shows. A shorter one costs more calls:
--- a/dunlinsaddle/routes/lease_renewal.py
+++ b/dunlinsaddle/routes/lease_renewal.py
@@ -1,12 +1,14 @@
 """Renews a node's proof that no newer configuration is there, for few calls to the store."""
+
 import asyncio
 import math
+from random import Random
+
 from dunlinsaddle.access.configuration_lease import ConfigurationLease
 from dunlinsaddle.loops import OnLoop
 from dunlinsaddle.membership.coordinators import StoreWatchers
 from dunlinsaddle.membership.view import Member, MemberView
 from dunlinsaddle.routes.config_follower import ConfigFollower
-from random import Random
 
 RENEWAL_INTERVAL_SECONDS = 0.25  #: between two decisions whom to ask
 #: Age in seconds from which the first watcher of a domain asks the store for a proof. It bounds
--- a/tests/test_restored_store.py
+++ b/tests/test_restored_store.py
@@ -1,11 +1,14 @@
 """The store comes back from an older copy: its revisions go back and are given out again."""
+
 import asyncio
+
 import msgspec
+
 from dunlinsaddle.calls.http import HttpRequest
 from dunlinsaddle.platform.store import ABSENT, Conflict, Place, place_of
 from standins.platform import Platform
 from tests.builders import build_configuration, build_document, build_record_sync, running_follower
-from tests.mesh_case import MeshTest, SETTLE_SECONDS
+from tests.mesh_case import SETTLE_SECONDS, MeshTest
 from tests.store_case import StoreCase
 
 IN_FORCE = 2.0  #: seconds within which a change has to be in force
--- a/tests/test_shared_watch.py
+++ b/tests/test_shared_watch.py
@@ -1,12 +1,19 @@
 """A configuration reaches all nodes of a fleet through the few that watch the store."""
+
 import asyncio
-from dunlinsaddle.membership.coordinators import COORDINATORS_PER_DOMAIN, StoreWatchers, rank_by_hash
+
+from testtools import TestCase
+
+from dunlinsaddle.membership.coordinators import (
+    COORDINATORS_PER_DOMAIN,
+    StoreWatchers,
+    rank_by_hash,
+)
 from dunlinsaddle.membership.view import MemberView, State
 from tests.builders import build_configuration, build_member
 from tests.fakes.mesh import Mesh
 from tests.fakes.network import GossipSimulation
 from tests.mesh_case import MeshTest
-from testtools import TestCase
 
 DOMAINS = 3
 NODES = 24
--- a/tests/test_withdrawn_keys.py
+++ b/tests/test_withdrawn_keys.py
@@ -1,12 +1,15 @@
 """A key that was taken away is refused everywhere in time, also where no word of it arrives."""
+
 import asyncio
 import math
-from dunlinsaddle.access.configuration_lease import ConfigurationLease, EXPIRY_FRACTION
+
+from testtools import TestCase
+
+from dunlinsaddle.access.configuration_lease import EXPIRY_FRACTION, ConfigurationLease
 from dunlinsaddle.routes.lease_renewal import RENEWAL_INTERVAL_SECONDS
 from tests.builders import build_configuration, build_tenant
 from tests.fakes.mesh import LIMITS
 from tests.mesh_case import MeshTest
-from testtools import TestCase
 
 DOMAINS = 3
 NODES = 15
