--- a/dunlinsaddle/policy/__init__.py
+++ b/dunlinsaddle/policy/__init__.py
@@ -1,1 +1,1 @@
-"""The decisions: pure state fed with the time and an event; no sockets, clock or logging."""
+"""Decision logic: pure state that is fed the time and events; no sockets, clock or logging."""
--- a/dunlinsaddle/policy/context.py
+++ b/dunlinsaddle/policy/context.py
@@ -1,4 +1,4 @@
-"""What every hop knows of the request it works for."""
+"""The context of a call: what every hop knows of the request it works for."""
 
 import math
 from typing import NamedTuple
@@ -7,16 +7,16 @@
 
 from dunlinsaddle.records.models import Rank
 
-SLOTS_PER_RANK = 128  #: levels of one rank: a level then is less than a hundredth of its demand
-LOWEST_LEVEL = SLOTS_PER_RANK * len(Rank) - 1
-MAX_HOPS = 32  #: three times the deepest chain of the users, which has eleven
+SLOTS_PER_RANK = 128  #: priority levels per rank; each is less than 1 % of the rank's demand
+LOWEST_LEVEL = SLOTS_PER_RANK * len(Rank) - 1  #: the least important priority level
+MAX_HOPS = 32  #: about three times the deepest known call chain, which has eleven hops
 
 
 class Priority(NamedTuple):
     """The priority of a root request: its rank, then a slot that is the same at every hop.
 
-    All hops order requests alike, so overloaded hops shed the same ones and no work is
-    spent on a request that dies further down.
+    All hops order requests in the same way, so overloaded hops shed the same requests and no
+    work is spent on a request that fails further down the chain.
     """
 
     rank: Rank
@@ -24,26 +24,26 @@
 
     @property
     def level(self) -> int:
-        """One number for both: 0 is the most valued, ``LOWEST_LEVEL`` the least."""
+        """Rank and slot as one number: 0 is most important, ``LOWEST_LEVEL`` least."""
         return self.rank * SLOTS_PER_RANK + self.slot
 
 
 def priority_of(rank: Rank, request_id: str) -> Priority:
-    """Derive the priority of a root request."""
+    """Return the priority of a root request; its slot is a hash of the request id."""
     return Priority(rank, xxhash.xxh32_intdigest(request_id.encode()) % SLOTS_PER_RANK)
 
 
 def inherit_priority(root: Priority, own: Rank) -> Priority:
-    """Give the priority of a call that is made on behalf of a root request.
+    """Return the priority of a call that is made on behalf of a root request.
 
-    It is the root's, so that all hops shed the same requests. A call of the most valued rank
-    keeps that rank: a release is the last to be shed, whoever asked for it.
+    It is the priority of the root request, so that all hops shed the same requests. A call of
+    rank ``critical`` keeps that rank whatever the root request's: it must be shed last.
     """
     return root._replace(rank=Rank.CRITICAL) if own is Rank.CRITICAL else root
 
 
 class CallContext(NamedTuple):
-    """One call on its way. ``deadline`` is a time of the local loop's clock, in seconds."""
+    """One call with what its hops need to know. ``deadline`` is in seconds of the loop's clock."""
 
     request_id: str
     caller: str
@@ -56,7 +56,7 @@
     idempotent: bool
     key: str
     fingerprint: int
-    deaths: int = 0  #: of targets that were lost while they ran this request
-    useful_until: float = math.inf  #: an answer after this time of the loop is worth less
-    is_resend: bool = False  #: it, or the request that it is made for, was sent before
-    organisation: str = ''  #: whose request it is, or the request that it is made for
+    deaths: int = 0  #: targets that were lost while they ran this request
+    useful_until: float = math.inf  #: time of the loop's clock after which an answer is worth less
+    is_resend: bool = False  #: whether this call or its root request was sent before
+    organisation: str = ''  #: the organisation that sent the root request
--- a/dunlinsaddle/policy/route.py
+++ b/dunlinsaddle/policy/route.py
@@ -1,13 +1,11 @@
 """Choice of the target of a service for a call, from membership views that may be stale."""
-
 from collections.abc import Sequence
+from dunlinsaddle.policy.admission import Load
+from dunlinsaddle.policy.pace import DECAY_SECONDS, RelativeLatencies
 from math import exp, inf
 from random import Random
 from typing import NamedTuple, TypedDict
 
-from dunlinsaddle.policy.admission import Load
-from dunlinsaddle.policy.relative_latency import FORGET_SECONDS, RelativeLatencies
-
 #: One or two consecutive calls without an answer also happen at a healthy target that restarts.
 CONSECUTIVE_FAILURES_TO_EJECT = 3
 #: Pause after the first ejection, doubled by each further one: a restart takes about as long.
@@ -109,7 +107,7 @@
         return self.rate_use + (self.load.waiting + self.outstanding + 1) / self.rate
 
     def error_share(self, now: float) -> float:
-        return self._error_share * exp((self._error_share_at - now) / FORGET_SECONDS)
+        return self._error_share * exp((self._error_share_at - now) / DECAY_SECONDS)
 
 
 class _CandidateSelection(NamedTuple):
@@ -220,7 +218,7 @@
         self, now: float, instance: str, rule: str, seconds: float, *, completed: bool = True
     ) -> None:
         """Record how long a call took; one not ``completed`` would have taken longer."""
-        self._paces.record(now, instance, rule, seconds, whole=completed)
+        self._paces.record(now, instance, rule, seconds, completed=completed)
 
     def record_failure(self, now: float, instance: str) -> None:
         """Record a call that got no response, and eject the target after several in a row.
--- a/dunlinsaddle/policy/sliding_count.py
+++ b/dunlinsaddle/policy/sliding_count.py
@@ -1,42 +1,44 @@
-"""A count over the last seconds, in buckets."""
+"""Event counts over sliding time windows, kept in buckets."""
 
 
 class SlidingCount:
-    """Counts over windows of whole buckets, a little more than their seconds rather than less.
+    """Counts events over windows that end with the bucket of a given time.
 
-    ``width`` is the seconds of a bucket; ``held`` the buckets behind the newest that windows may
-    reach back to. The totals that were asked for are kept, so that one more costs an addition.
+    A window of n buckets also includes the started bucket, so it covers slightly more time than
+    n buckets and never less. Totals are cached, so adding an event costs one addition for each
+    cached total.
     """
 
-    __slots__ = ('_buckets', '_held', '_newest', '_totals', '_width')
+    __slots__ = ('_bucket_seconds', '_buckets', '_history_buckets', '_newest', '_totals')
 
-    def __init__(self, width: float, held: int) -> None:
-        self._width = width
-        self._held = held
+    def __init__(self, bucket_seconds: float, history_buckets: int) -> None:
+        """Keep ``history_buckets`` buckets before the newest one for windows to cover."""
+        self._bucket_seconds = bucket_seconds
+        self._history_buckets = history_buckets
         self._newest = 0
         self._buckets: dict[int, int] = {}
-        self._totals: dict[tuple[int, int], int] = {}  #: by the last bucket of a window, and length
+        self._totals: dict[tuple[int, int], int] = {}  #: by last bucket and length of the window
 
     def add(self, now: float, count: int = 1) -> None:
-        """Count now."""
+        """Add events at this time."""
         number = self._advance(now)
         self._change(number, count)
 
     def remove_one(self) -> None:
-        """Count one less in the newest bucket, if it has any."""
+        """Remove one event from the newest bucket unless that is empty."""
         if self._buckets.get(self._newest):
             self._change(self._newest, -1)
 
-    def total(self, now: float, buckets: int, before: int = 0) -> int:
-        """Give the count of a window of so many buckets that ended ``before`` buckets ago."""
-        self._held = max(self._held, before + buckets)
-        last = self._advance(now) - before
-        found = self._totals.get((last, buckets))
-        if found is None:
-            held = self._buckets
-            found = sum(held.get(number, 0) for number in range(last - buckets, last + 1))
-            self._totals[last, buckets] = found
-        return found
+    def total(self, now: float, buckets: int, buckets_ago: int = 0) -> int:
+        """Return the count of a window of ``buckets`` that ended ``buckets_ago`` buckets ago."""
+        self._history_buckets = max(self._history_buckets, buckets_ago + buckets)
+        last = self._advance(now) - buckets_ago
+        total = self._totals.get((last, buckets))
+        if total is None:
+            counts = self._buckets
+            total = sum(counts.get(number, 0) for number in range(last - buckets, last + 1))
+            self._totals[last, buckets] = total
+        return total
 
     def _change(self, number: int, count: int) -> None:
         self._buckets[number] = self._buckets.get(number, 0) + count
@@ -45,11 +47,11 @@
                 self._totals[last, buckets] += count
 
     def _advance(self, now: float) -> int:
-        """Give the bucket of this moment, and forget what no window reaches any more."""
-        number = int(now / self._width)
+        """Return the number of the current bucket; drop buckets that no window can cover."""
+        number = int(now / self._bucket_seconds)
         if number != self._newest:
             self._newest = number
             self._totals.clear()
-            oldest = number - self._held
+            oldest = number - self._history_buckets
             self._buckets = {n: c for n, c in self._buckets.items() if n >= oldest}
         return number
--- a/dunlinsaddle/policy/wait_queue.py
+++ b/dunlinsaddle/policy/wait_queue.py
@@ -1,4 +1,4 @@
-"""The calls that wait at a target, the most valued first, with the work ahead of each."""
+"""The queue of calls that wait for admission, in order of priority."""
 
 from collections.abc import Callable, Iterator
 from typing import NamedTuple
@@ -10,30 +10,30 @@
 
 
 class QueuedWork(NamedTuple):
-    """What goes before a call."""
+    """The number of queued calls ahead of a call, and the work they need."""
 
     calls: int
-    work_seconds: float  #: seconds for which they will hold a slot, added up
+    work_seconds: float  #: sum of the seconds for which each of them will hold a slot
 
 
 class WaitQueue:
-    """Calls in the order of their levels, then of their arrival.
+    """Calls in order of priority level, then of arrival.
 
-    All calls of one request share its level. Failure: a deep service has lost two of three
-    targets and can serve half of its calls; in order of arrival each request loses one of its
-    four calls or another, and nearly all of them fail. So the same requests are refused at
-    every hop, and the others are served whole.
+    All calls of one request share its level. Guards against this failure: a deep service has lost
+    two of three targets and can serve half of its calls. In order of arrival each request loses
+    one or another of its four calls, and nearly all requests fail. In order of level every hop
+    refuses the same requests, and the others succeed.
 
-    The work ahead of a call is worked out from how many calls of each rule wait at each level.
-    Added up call by call it took seven tenths of a node's processor time in a surge, with 11,700
-    arrivals and a queue of some 50 in four seconds.
+    The work ahead of a call is calculated from the number of waiting calls per rule and level.
+    Adding it up call by call took 70 % of a node's processor time in a surge, with 11,700 arrivals
+    in four seconds and a queue of some 50 calls.
     """
 
     def __init__(self, seconds_of: Callable[[str], float]) -> None:
-        self._seconds_of = seconds_of  #: for which a call of a rule holds a slot
+        self._seconds_of = seconds_of  #: seconds for which a call of a rule holds a slot
         self._calls: SortedKeyList = SortedKeyList(key=_order)
-        self._counts: dict[str, list[int]] = {}
-        self._totals: dict[str, int] = {}
+        self._counts: dict[str, list[int]] = {}  #: waiting calls by rule and level
+        self._totals: dict[str, int] = {}  #: waiting calls by rule
 
     def __len__(self) -> int:
         return len(self._calls)
@@ -42,42 +42,42 @@
         yield from reversed(self._calls)
 
     def add(self, ticket: Ticket) -> None:
-        """Let a call wait behind those of its level."""
+        """Add a call behind those of its level."""
         self._calls.add(ticket)
         self._count(ticket, 1)
 
     def discard(self, ticket: Ticket) -> None:
-        """Take a call out if it waits."""
+        """Remove a call if it is in the queue."""
         size = len(self._calls)
         self._calls.discard(ticket)
         if len(self._calls) < size:
             self._count(ticket, -1)
 
     def pop_first(self) -> Ticket:
-        """Take out the call that goes first."""
+        """Remove and return the first call."""
         ticket: Ticket = self._calls.pop(0)
         self._count(ticket, -1)
         return ticket
 
     def total(self) -> QueuedWork:
-        """Give all that wait, as they go before what comes last."""
-        return self._ahead(self._totals)
+        """Return the calls and work of the whole queue."""
+        return self._work_of(self._totals)
 
     def ahead_of(self, ticket: Ticket) -> QueuedWork:
-        """Give those that a new call would wait behind."""
-        return self._ahead(
+        """Return the calls and work that a new call would wait behind."""
+        return self._work_of(
             {rule: sum(counts[: ticket.level + 1]) for rule, counts in self._counts.items()}
         )
 
-    def _ahead(self, counts: dict[str, int]) -> QueuedWork:
-        work = sum(self._seconds_of(rule) * count for rule, count in counts.items())
-        return QueuedWork(sum(counts.values()), work)
+    def _work_of(self, counts: dict[str, int]) -> QueuedWork:
+        work_seconds = sum(self._seconds_of(rule) * count for rule, count in counts.items())
+        return QueuedWork(sum(counts.values()), work_seconds)
 
     def _count(self, ticket: Ticket, change: int) -> None:
         rule = ticket.rule
         total = self._totals.get(rule, 0) + change
         if not total:
-            # Routes come and go with the configuration: what nobody waits for is not kept.
+            # The configuration adds and removes rules: keep no counts of rules without calls.
             del self._totals[rule], self._counts[rule]
             return
         self._totals[rule] = total
--- a/tests/builders.py
+++ b/tests/builders.py
@@ -1,15 +1,10 @@
 """Builders of test data: each gives something valid, changed where the test says so."""
-
 import asyncio
 import io
 import json
 import logging
 from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
-from heapq import heappop, heappush
-from random import Random
-from typing import Any
-
 from dunlinsaddle.access.configuration_lease import ConfigurationLease
 from dunlinsaddle.calls.call_state import PendingCall
 from dunlinsaddle.calls.messages import Call, Reply
@@ -19,8 +14,8 @@
 from dunlinsaddle.platform.configuration import read_configuration
 from dunlinsaddle.platform.store import ObjectStore
 from dunlinsaddle.policy.admission import Ticket
-from dunlinsaddle.policy.concurrency_limit import AdaptiveLimit
 from dunlinsaddle.policy.context import CallContext, Priority
+from dunlinsaddle.policy.limit import AdaptiveLimit
 from dunlinsaddle.policy.retry import RetryAllowance
 from dunlinsaddle.records.book import RecordBook
 from dunlinsaddle.records.changes import Change
@@ -28,7 +23,10 @@
 from dunlinsaddle.records.sync import RecordSync
 from dunlinsaddle.routes.config_follower import ConfigFollower
 from dunlinsaddle.settings import Address, Settings, read_settings
+from heapq import heappop, heappush
+from random import Random
 from tests.fakes.network import open_in_memory
+from typing import Any
 
 PEER_KEY = 'a-key-for-tests'
 OPERATOR_TOKEN = 'a-token-for-tests'
--- a/tests/test_level.py
+++ b/tests/test_level.py
@@ -6,26 +6,26 @@
 
 
 class AdmittedLevelTest(TestCase):
-    def offer(self, level: AdmittedLevel, levels: range, begin: float, seconds: float, rate: int):
+    def offer(self, level: AdmittedLevel, levels: range, start: float, seconds: float, rate: int):
         for i in range(int(seconds * rate)):
             level.record_arrival(levels[i * 7 % len(levels)])
-            level.update(begin + i / rate, capacity=100.0)
+            level.update(start + i / rate, capacity=100.0)
 
-    def test_level_admits_what_the_capacity_takes(self):
+    def test_level_admits_as_much_demand_as_the_capacity_takes(self):
         level = AdmittedLevel()
         self.offer(level, range(256, 384), 0.0, 5.0, rate=400)
         self.assertGreater(level.level, 256 + 128 * 0.15)
         self.assertLess(level.level, 256 + 128 * 0.35)
 
-    def test_critical_requests_go_last(self):
+    def test_critical_requests_are_shed_last(self):
         level = AdmittedLevel()
         self.offer(level, [*range(128)] + [*range(256, 384)] * 9, 0.0, 5.0, rate=500)
         self.assertGreater(level.level, 127)
 
-    def test_level_opens_within_two_seconds_of_the_end(self):
-        # The overload is over, and callers are still refused. The target remembers the
-        # demand at the shut levels, and sees only the open ones: what is refused by the hops
-        # above never arrives. That the open ones fell to a tenth must count for all.
+    def test_level_opens_within_two_seconds_of_the_end_of_a_surge(self):
+        # The target remembers the demand at closed levels, but only calls of open levels arrive,
+        # since the hops above refuse the others. Unless the drop of the open levels to a tenth is
+        # taken for all levels, callers are refused after the overload has ended.
         level = AdmittedLevel()
         self.offer(level, range(256, 384), 0.0, 5.0, rate=1000)
         for i in range(200):
@@ -35,9 +35,9 @@
             level.update(5.0 + i / 100, capacity=100.0)
         self.assertGreaterEqual(level.level, 383)
 
-    def test_level_opens_at_once_with_spare_capacity(self):
-        # Callers are refused though the target has free places and nothing waits: what it
-        # remembers of the demand at shut levels is taken for demand of now.
+    def test_level_opens_at_once_when_the_target_is_idle(self):
+        # Otherwise the remembered demand of closed levels counts as current demand, and callers
+        # are refused although the target has free capacity and an empty queue.
         level = AdmittedLevel()
         self.offer(level, range(256, 384), 0.0, 5.0, rate=1000)
         self.assertLess(level.level, 300)
@@ -54,25 +54,25 @@
         self.assertGreaterEqual(failure.retry_after, 1.0)
         self.assertIsNone(levels.check(0.1, 'schedules', 'cuts', 290))
 
-    def test_callers_refused_together_do_not_come_back_together(self):
-        # Each second all callers that a surge had refused come at once, are refused again at
-        # once, and the next second is the same: all were told the same Retry-After.
+    def test_callers_refused_together_do_not_retry_together(self):
+        # With the same Retry-After for all, the callers that a surge had refused would return
+        # together each second and be refused together again.
         levels = ChainLevels()
         levels.record_response(0.0, 'schedules', 'cuts', ReportedLevel(300.0))
-        told = [levels.check(0.1, 'schedules', 'cuts', 320).retry_after for _ in range(100)]
-        self.assertGreater(len({round(seconds, 2) for seconds in told}), 30)
+        retry_times = [levels.check(0.1, 'schedules', 'cuts', 320).retry_after for _ in range(100)]
+        self.assertGreater(len({round(seconds, 2) for seconds in retry_times}), 30)
 
     def test_only_the_entry_refuses_early(self):
-        # Callers lose requests that are almost done. The level falls a little while they are
-        # on their way, and the tenth hop refuses what the first has let in.
+        # The level falls a little while requests are in flight. If later hops refused by it, the
+        # tenth hop would refuse requests that the first has admitted and that are almost done.
         levels = ChainLevels()
         levels.record_response(0.0, 'schedules', 'cuts', ReportedLevel(300.0))
         self.assertIsNone(levels.check(0.1, 'schedules', 'cuts', 320, hop=10))
 
-    def test_entry_opens_at_once_when_its_demand_falls(self):
-        # The surge has ended, and callers are refused for seconds more. The target down the
-        # chain works off what is on its way, so its level stays low, while the entry can see
-        # that a tenth of the demand is left.
+    def test_entry_opens_at_once_when_its_demand_drops(self):
+        # After a surge the level of a deep target stays low while it processes the calls in flight.
+        # The entry sees that a tenth of the demand is left. Without that, callers would be refused
+        # for some seconds after the surge.
         levels = ChainLevels()
         levels.record_response(0.0, 'schedules', 'cuts', ReportedLevel(268.0))
         for i in range(1500):
@@ -84,33 +84,33 @@
             levels.record_response(3.0 + i / 50, 'schedules', 'cuts', ReportedLevel(268.0))
         self.assertIsNone(levels.check(4.0, 'schedules', 'cuts', 300))
 
-    def test_middle_hop_reports_the_worst_of_its_chain(self):
+    def test_middle_hop_reports_the_lowest_level_of_its_chain(self):
         levels = ChainLevels()
         levels.record_call(0.0, 'stock', 'schedules', 'cuts')
         levels.record_response(0.0, 'schedules', 'cuts', ReportedLevel(300.0))
         self.assertEqual(300.0, levels.lowest_in_chain(0.1, 'stock', ReportedLevel(400.0)).level)
         self.assertEqual(400.0, levels.lowest_in_chain(0.1, 'other', ReportedLevel(400.0)).level)
 
-    def test_stale_level_opens_by_itself(self):
-        # The caller is refused for ever though the overload is over. The entry refuses all
-        # calls to the service early, so no answer comes that would bring a better level.
+    def test_stale_level_reopens_by_itself(self):
+        # The entry refuses all calls to the service early, so no response arrives that could report
+        # a higher level. Without reopening, callers would be refused for ever.
         levels = ChainLevels()
         levels.record_response(0.0, 'schedules', 'cuts', ReportedLevel(-1.0))
         self.assertIsNotNone(levels.check(0.4, 'schedules', 'cuts', LOWEST_LEVEL))
         self.assertIsNone(levels.check(3.0, 'schedules', 'cuts', LOWEST_LEVEL))
 
-    def test_service_whose_targets_are_back_is_open_at_once(self):
-        # All targets were lost together. They are back within a second, and callers of the
-        # least valued rank are refused for another one and a half: the level opens by steps,
-        # as if there were a load that too many callers would bring back.
+    def test_service_whose_targets_are_back_opens_at_once(self):
+        # All targets were lost together and are back within a second. If the level opened in steps,
+        # as after an overload, callers of the least important rank would be refused for another
+        # 1.5 s.
         levels = ChainLevels()
         levels.record_unavailable(0.0, 'schedules', 'cuts')
         self.assertIsNotNone(levels.check(0.4, 'schedules', 'cuts', 0))
         self.assertIsNone(levels.check(0.6, 'schedules', 'cuts', LOWEST_LEVEL))
 
-    def test_level_does_not_live_on_in_a_circle_of_services(self):
-        # Two services call each other. Each reports the other's level as part of its chain,
-        # so each confirms what it once heard from the other, and both refuse for ever.
+    def test_services_that_call_each_other_do_not_keep_a_low_level_alive(self):
+        # Each of two services that call each other reports the other's level as part of its chain.
+        # Unless the age is passed on, each confirms the other's old level and both refuse for ever.
         one, other = ChainLevels(), ChainLevels()
         one.record_call(0.0, 'a', 'other', 'b')
         other.record_call(0.0, 'b', 'one', 'a')
--- a/tests/test_outcomes.py
+++ b/tests/test_outcomes.py
@@ -1,75 +1,74 @@
-from random import Random
-
-from testtools import TestCase
 
-from dunlinsaddle.policy.failure_throttle import MIN_ADMITTED_SHARE, FailureThrottle
+from dunlinsaddle.policy.outcomes import FailureThrottle, MIN_ADMITTED_SHARE
+from random import Random
 from tests.mesh_case import MeshTest
 from tests.test_deep_load import ALIKE, ALIKE_SLOTS, ALL_SHED, shares
+from testtools import TestCase
 
 
-class OutcomesTest(TestCase):
-    def admitted(self, outcomes: FailureThrottle, now: float, count: int = 400) -> float:
-        return sum(outcomes.admits(now, 'lookup') for _ in range(count)) / count
+class FailureThrottleTest(TestCase):
+    def admitted_share(self, throttle: FailureThrottle, now: float, count: int = 400) -> float:
+        return sum(throttle.admits(now, 'lookup') for _ in range(count)) / count
 
-    def ended(
-        self, whole: float, seconds: float, outcomes: FailureThrottle, began: float = 0.0
+    def record_requests(
+        self, success_share: float, seconds: float, throttle: FailureThrottle, start: float = 0.0
     ) -> None:
         rng = Random(3)
         for step in range(int(seconds * 10)):
-            outcomes.record_end(began + step / 10, 'lookup', failed=rng.random() >= whole)
-
-    def test_all_are_let_in_while_they_are_whole(self):
-        outcomes = FailureThrottle()
-        self.ended(0.97, 5, outcomes)
-        self.assertEqual(1.0, self.admitted(outcomes, 5.0))
-
-    def test_a_rule_that_is_never_whole_is_let_in_to_find_out_only(self):
-        # Nearly all requests fail three hops down: what they use up there is missing elsewhere.
-        outcomes = FailureThrottle()
-        self.ended(0.0, 5, outcomes)
-        self.assertAlmostEqual(MIN_ADMITTED_SHARE, self.admitted(outcomes, 5.0), delta=0.1)
-
-    def test_what_half_of_is_whole_is_not_held_back(self):
-        outcomes = FailureThrottle()
-        self.ended(0.6, 5, outcomes)
-        self.assertGreater(self.admitted(outcomes, 5.0), 0.9)
-
-    def test_it_is_open_again_soon_after_the_calls_are_taken_again(self):
-        # Callers are refused though all would be served: only those let in show that.
-        outcomes = FailureThrottle()
-        self.ended(0.0, 5, outcomes)
+            throttle.record_end(start + step / 10, 'lookup', failed=rng.random() >= success_share)
+
+    def test_all_requests_are_admitted_while_nearly_all_succeed(self):
+        throttle = FailureThrottle()
+        self.record_requests(0.97, 5, throttle)
+        self.assertEqual(1.0, self.admitted_share(throttle, 5.0))
+
+    def test_rule_that_always_fails_is_admitted_at_the_minimum_share(self):
+        # Requests that fail three hops down use capacity there that other requests need.
+        throttle = FailureThrottle()
+        self.record_requests(0.0, 5, throttle)
+        self.assertAlmostEqual(MIN_ADMITTED_SHARE, self.admitted_share(throttle, 5.0), delta=0.1)
+
+    def test_rule_with_more_than_half_successes_is_not_throttled(self):
+        throttle = FailureThrottle()
+        self.record_requests(0.6, 5, throttle)
+        self.assertGreater(self.admitted_share(throttle, 5.0), 0.9)
+
+    def test_throttle_ends_soon_after_requests_succeed_again(self):
+        # Until then callers are refused although all would be served.
+        throttle = FailureThrottle()
+        self.record_requests(0.0, 5, throttle)
         now = 5.0
         for step in range(15):
             now = 5.0 + step / 10
-            if outcomes.admits(now, 'lookup'):
-                outcomes.record_end(now, 'lookup', failed=False)
-        self.assertGreater(self.admitted(outcomes, now), 0.9)
+            if throttle.admits(now, 'lookup'):
+                throttle.record_end(now, 'lookup', failed=False)
+        self.assertGreater(self.admitted_share(throttle, now), 0.9)
 
-    def test_other_rules_are_not_held_back(self):
-        outcomes = FailureThrottle()
-        self.ended(0.0, 5, outcomes)
-        self.assertTrue(all(outcomes.admits(5.0, 'map') for _ in range(50)))
+    def test_other_rules_are_not_throttled(self):
+        throttle = FailureThrottle()
+        self.record_requests(0.0, 5, throttle)
+        self.assertTrue(all(throttle.admits(5.0, 'map') for _ in range(50)))
 
 
-class AllShedTest(TestCase):
-    def test_fewer_requests_begin_in_vain_and_no_fewer_are_whole(self):
-        # All targets of the deep service turn away half of what arrives: nine lookups in ten
-        # failed after three hops of work.
-        held = shares(ALIKE, ALL_SHED, ALIKE_SLOTS)
-        free = shares(ALIKE, ALL_SHED, ALIKE_SLOTS, by_outcome=False)
-        self.assertLess(held['lookup'].spoilt, 0.8)
-        self.assertGreater(free['lookup'].spoilt, 0.85)
-        self.assertGreaterEqual(held['lookup'].in_time, free['lookup'].in_time)
-        self.assertGreater(held['order'].in_time, free['order'].in_time - 0.02)
+class AllTargetsShedTest(TestCase):
+    def test_fewer_requests_start_in_vain_and_no_fewer_succeed(self):
+        # All targets of the deep service refuse about half of their calls: without the throttle
+        # nine in ten lookups fail after three hops of work.
+        throttled = shares(ALIKE, ALL_SHED, ALIKE_SLOTS)
+        unthrottled = shares(ALIKE, ALL_SHED, ALIKE_SLOTS, by_outcome=False)
+        self.assertLess(throttled['lookup'].spoilt, 0.8)
+        self.assertGreater(unthrottled['lookup'].spoilt, 0.85)
+        self.assertGreaterEqual(throttled['lookup'].in_time, unthrottled['lookup'].in_time)
+        self.assertGreater(throttled['order'].in_time, unthrottled['order'].in_time - 0.02)
 
 
 SERVICES = ('front', 'deep', 'below')
 TARGETS = ('a:front', 'b:deep', 'c:below')
 
 
-class EntryTest(MeshTest):
-    async def all_fail(self, mesh):
-        """Send requests whose calls fail; gives those begun and refused, and if all were told."""
+class EntryThrottleTest(MeshTest):
+    async def send_failing_requests(self, mesh):
+        """Return how many requests failed and were refused, and if refusals had Retry-After."""
         middle, below = mesh.targets['b'], mesh.targets['c']
 
         async def fail(req):
@@ -83,26 +82,28 @@
         middle.respond = call_and_fail
         answers = [await mesh.call('a', '/deep/x') for _ in range(40)]
         statuses = [answer.status for answer in answers]
-        told = all(
+        all_have_retry_after = all(
             b'retry-after' in dict(answer.headers) for answer in answers if answer.status == 503
         )
-        return statuses.count(502), statuses.count(503), told
+        return statuses.count(502), statuses.count(503), all_have_retry_after
 
-    def test_an_entry_refuses_most_of_a_rule_whose_calls_fail(self):
-        # The target answers 502, as a call of its own fails further down. Callers are told
-        # when to come back in place of an error after the work of three hops.
-        failed, refused, told = self.run_mesh(self.all_fail, targets=TARGETS, services=SERVICES)
+    def test_entry_refuses_most_requests_of_a_rule_whose_calls_fail(self):
+        # The target answers 502 because a call of its own fails further down. Refused callers get
+        # Retry-After instead of an error after the work of three hops.
+        failed, refused, all_have_retry_after = self.run_mesh(
+            self.send_failing_requests, targets=TARGETS, services=SERVICES
+        )
         self.assertEqual(40, failed + refused)
         self.assertGreater(refused, 10)
-        self.assertTrue(told)
+        self.assertTrue(all_have_retry_after)
 
-    def test_the_most_valued_are_not_held_back(self):
-        # One in five orders is whole while targets shed: refused with the rest, they would be the
-        # first to go and not the last.
-        begun, refused, _ = self.run_mesh(
-            self.all_fail, targets=TARGETS, services=SERVICES, priority=0
+    def test_most_important_requests_are_not_throttled(self):
+        # One in five orders succeeds while targets shed. Throttled like other requests, they would
+        # be refused first instead of last.
+        failed, refused, _ = self.run_mesh(
+            self.send_failing_requests, targets=TARGETS, services=SERVICES, priority=0
         )
-        self.assertEqual((40, 0), (begun, refused))
+        self.assertEqual((40, 0), (failed, refused))
 
 
 def _inner(req):
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -8,7 +8,7 @@
 
 
 class SlotAdmissionTest(TestCase):
-    def admission(self, slots=10, seconds=0.1):
+    def build_admission(self, slots=10, seconds=0.1):
         admission = SlotAdmission()
         admission.set_slots(slots)
         for number in range(3):
@@ -23,15 +23,15 @@
             number += 1
         return number - 1000
 
-    def test_fewer_calls_run_than_the_target_has_slots(self):
-        # A call beyond the slots is rejected, or never answered: it costs a retry either way.
-        self.assertEqual(38, SlotAdmissionTest.fill(self, self.admission(slots=40), hop=1))
+    def test_only_95_percent_of_the_slots_are_used(self):
+        # A target rejects calls beyond its slots or never answers them; either costs a retry.
+        self.assertEqual(38, SlotAdmissionTest.fill(self, self.build_admission(slots=40), hop=1))
 
-    def test_the_more_valued_call_goes_first_whether_made_for_running_work_or_not(self):
-        # Callers of the deep service itself get nothing while others' requests call it: calls
-        # of running work went first whatever their rank, and took all slots. What is begun is
-        # protected by the entries, which refuse the requests whose calls would be refused.
-        admission = self.admission()
+    def test_queue_order_depends_on_level_alone_and_not_on_the_hop(self):
+        # If calls of running requests came first whatever their rank, they would take all slots and
+        # callers of the deep service itself would get none. Running requests are protected by the
+        # entries, which refuse requests whose calls would be refused.
+        admission = self.build_admission()
         self.fill(admission, level=100)
         admission.admit(0.0, build_ticket(1, level=310, hop=3))
         admission.admit(0.0, build_ticket(2, level=300))
@@ -43,10 +43,10 @@
             started += [t.call_id for t in admission.dequeue(0.1).started]
         self.assertEqual([3, 2, 1], started[1:])
 
-    def test_the_level_that_fills_the_slots_is_told_with_the_load(self):
-        # Requests pass three hops and fail at a full service. What it can serve of them has
-        # to be known where they enter: with twice the demand, half of the levels of their rank.
-        admission = self.admission(slots=20, seconds=0.1)
+    def test_load_reports_the_level_that_fills_the_slots(self):
+        # Entries must know which requests a full service can serve, or requests pass three hops and
+        # fail there. With twice the demand, that is half of the levels of their rank.
+        admission = self.build_admission(slots=20, seconds=0.1)
         self.assertEqual(LOWEST_LEVEL, admission.load(0.05).level)
         running = []
         now = 0.1
@@ -64,24 +64,24 @@
         self.assertGreater(admission.load(now).level, 256 + 128 * 0.35)
         self.assertLess(admission.load(now).level, 256 + 128 * 0.65)
 
-    def test_what_cannot_be_answered_in_time_is_refused_at_once(self):
-        admission = self.admission(seconds=0.4)
+    def test_call_that_cannot_be_answered_by_its_deadline_is_refused_on_arrival(self):
+        admission = self.build_admission(seconds=0.4)
         self.fill(admission, deadline=60.0)
         verdict = admission.admit(0.0, build_ticket(1, deadline=0.3))
         self.assertIsInstance(verdict, Refuse)
         self.assertEqual(ErrorKind.OVERLOADED, verdict.failure.kind)
         self.assertGreater(verdict.failure.retry_after, 0.0)
 
-    def test_an_answer_past_its_objective_is_not_waited_for(self):
-        admission = self.admission(seconds=0.4)
+    def test_call_that_cannot_be_answered_within_its_useful_time_is_refused(self):
+        admission = self.build_admission(seconds=0.4)
         self.fill(admission, deadline=60.0)
         late = build_ticket(1, deadline=60.0, useful_until=0.2)
         self.assertIsInstance(admission.admit(0.0, late), Refuse)
 
-    def test_the_last_in_the_queue_goes_as_soon_as_it_would_be_late(self):
-        # A wave of calls that go first pushes it back: told at once, its caller has the time
-        # to come again; told at the end of its wait, it has not.
-        admission = self.admission(slots=1, seconds=0.1)
+    def test_last_waiting_call_is_evicted_as_soon_as_it_would_be_late(self):
+        # Calls that arrive later and go first push it back. Refused at once, its caller has time to
+        # retry; refused at the end of its wait, it has not.
+        admission = self.build_admission(slots=1, seconds=0.1)
         self.fill(admission, deadline=60.0)
         self.assertIsInstance(admission.admit(0.0, build_ticket(5, deadline=0.35)), Wait)
         verdicts = [
@@ -90,8 +90,8 @@
         evicted = [v.evicted.call_id for v in verdicts if v.evicted is not None]
         self.assertEqual([5], evicted)
 
-    def test_come_back_times_differ(self):
-        admission = self.admission(slots=1, seconds=1.0)
+    def test_retry_after_times_differ(self):
+        admission = self.build_admission(slots=1, seconds=1.0)
         self.fill(admission, deadline=60.0)
         times = {
             admission.admit(0.0, build_ticket(n, deadline=0.5)).failure.retry_after
@@ -100,11 +100,11 @@
         self.assertEqual(8, len(times))
 
 
-class WaitTest(TestCase):
-    def test_more_valued_calls_to_come_lengthen_the_wait_at_the_entry(self):
-        # More valued calls take most slots all the time. A request at the entry that the
-        # slots as a whole would serve in time waits for what these leave: told at once, its
-        # caller comes again; told after the wait, it has lost the time.
+class ExpectedWaitTest(TestCase):
+    def test_expected_more_important_calls_lengthen_the_wait_at_the_entry(self):
+        # More important calls take most slots all the time, so a request at the entry gets only the
+        # slots they leave, while all slots together would serve it in time. Refused at once, its
+        # caller can retry; refused after the wait, it has lost that time.
         admission = SlotAdmission()
         admission.set_slots(20)
         number = 0
@@ -129,6 +129,6 @@
             for n in range(30)
         ]
         waits = sum(isinstance(verdict, Wait) for verdict in verdicts)
-        # With 18 slots at 0.5 s the queue would hold 36 for the second that is left.
+        # With all 18 usable slots at 0.5 s, 36 calls would be queued for the remaining second.
         self.assertLess(waits, 18)
         self.assertIsInstance(verdicts[-1], Refuse)
