--- a/dunlinsaddle/policy/route.py
+++ b/dunlinsaddle/policy/route.py
@@ -1,11 +1,13 @@
 """Choice of the target of a service for a call, from membership views that may be stale."""
+
 from collections.abc import Sequence
-from dunlinsaddle.policy.admission import Load
-from dunlinsaddle.policy.pace import DECAY_SECONDS, RelativeLatencies
 from math import exp, inf
 from random import Random
 from typing import NamedTuple, TypedDict
 
+from dunlinsaddle.policy.admission import Load
+from dunlinsaddle.policy.pace import DECAY_SECONDS, RelativeLatencies
+
 #: One or two consecutive calls without an answer also happen at a healthy target that restarts.
 CONSECUTIVE_FAILURES_TO_EJECT = 3
 #: Pause after the first ejection, doubled by each further one: a restart takes about as long.
--- a/tests/test_outcomes.py
+++ b/tests/test_outcomes.py
@@ -1,9 +1,10 @@
-
-from dunlinsaddle.policy.outcomes import FailureThrottle, MIN_ADMITTED_SHARE
 from random import Random
+
+from testtools import TestCase
+
+from dunlinsaddle.policy.outcomes import MIN_ADMITTED_SHARE, FailureThrottle
 from tests.mesh_case import MeshTest
 from tests.test_deep_load import ALIKE, ALIKE_SLOTS, ALL_SHED, shares
-from testtools import TestCase
 
 
 class FailureThrottleTest(TestCase):
