--- a/dunlinsaddle/calls/__init__.py
+++ b/dunlinsaddle/calls/__init__.py
@@ -1,1 +1,1 @@
-"""The way of a call: HTTP faces, the link between nodes, forwarding."""
+"""Request handling: HTTP listeners, forwarding between nodes, execution at the local target."""
--- a/dunlinsaddle/calls/accepted_connection.py
+++ b/dunlinsaddle/calls/accepted_connection.py
@@ -1,40 +1,24 @@
-"""One accepted connection: reads requests and answers them in order."""
-
+"""Server side of one HTTP/1.1 connection: reads requests and writes the responses in order."""
 import asyncio
 import math
 from collections import deque
 from collections.abc import Awaitable, Callable
-from typing import Protocol, cast
-
-from dunlinsaddle.calls.http import (
-    HOP_BY_HOP,
-    HttpLimits,
-    HttpRequest,
-    HttpResponse,
-    failure_response,
-)
-from dunlinsaddle.calls.http_codec import (
-    BODILESS_STATUSES,
-    BodyTooLarge,
-    HeadTooLarge,
-    MalformedMessage,
-    RequestMessage,
-    RequestReader,
-    encode_response,
-)
+from dunlinsaddle.calls.http import HOP_BY_HOP, HttpLimits, HttpRequest, HttpResponse, failure_response
+from dunlinsaddle.calls.http_codec import BODILESS_STATUSES, BodyTooLarge, HeadTooLarge, MalformedMessage, RequestMessage, RequestReader, encode_response
 from dunlinsaddle.calls.keepalive import enable_keepalive
 from dunlinsaddle.errors import ErrorKind, Failure
+from typing import Protocol, cast
 
-MAX_TARGET_BYTES = 8192  #: of a path with its query; RFC 9110, 4.1 asks for 8,000 at least
-CONTINUE = b'HTTP/1.1 100 Continue\r\n\r\n'
-#: Requests of these methods may run beside others of their connection.
+MAX_TARGET_BYTES = 8192  #: of a path with its query; RFC 9110, 4.1 asks for at least 8,000
+CONTINUE_RESPONSE = b'HTTP/1.1 100 Continue\r\n\r\n'
+#: Pipelined requests of these methods may run concurrently (RFC 9112, 9.3.2).
 SAFE_METHODS = frozenset({b'GET', b'HEAD', b'OPTIONS'})
 
 Handler = Callable[[HttpRequest], Awaitable[HttpResponse]]
 
 
-class Face(Protocol):
-    """What a connection asks of the listener that accepted it."""
+class Listener(Protocol):
+    """The parts of a listener that its accepted connections use."""
 
     pipeline: int
     handler: Handler
@@ -44,11 +28,11 @@
     closing: bool
 
     def note_idle(self) -> None:
-        """Wake who waits for the end of the requests."""
+        """Wake the tasks that wait until no request is in progress."""
 
 
 class _Exchange:
-    """One request on a connection, from its last byte to its answer."""
+    """A completely read request and its response."""
 
     __slots__ = ('keep_alive', 'method', 'response', 'task')
 
@@ -56,181 +40,186 @@
         self.method = method
         self.keep_alive = keep_alive
         self.task: asyncio.Task[None] | None = None
-        self.response: HttpResponse | None = None  #: the answer, once there is one
+        self.response: HttpResponse | None = None  #: None until the handler has returned
 
     @property
     def done(self) -> bool:
-        """Whether the answer may be sent."""
+        """Whether the response is ready to be sent."""
         return self.response is not None
 
 
 class AcceptedConnection(asyncio.Protocol):
-    """One accepted connection: reads requests, and answers them in the order of their arrival."""
+    """Protocol of an accepted connection: parses requests and answers them in order of arrival.
+
+    Input that cannot be processed yet is buffered: ``unread`` holds bytes that have not been
+    parsed, ``unstarted`` holds parsed requests that must wait for those before them.
+    """
 
-    def __init__(self, face: Face) -> None:
-        self.face = face
+    def __init__(self, listener: Listener) -> None:
+        self.listener = listener
         self.loop = asyncio.get_running_loop()
         self.transport: asyncio.Transport
         self.timer: asyncio.TimerHandle | None = None
-        self.expires_at = math.inf
-        self.reader = RequestReader(face.limits.max_header_bytes, face.limits.max_body_bytes)
-        self.answering: deque[_Exchange] = deque()
-        self.waiting: deque[RequestMessage] = deque()  #: read, but not begun
-        self.held = b''  #: not read yet
-        self.continued = False
-        self.ending = False
-        self.unsent = False
+        self.timeout_at = math.inf
+        self.reader = RequestReader(listener.limits.max_header_bytes, listener.limits.max_body_bytes)
+        self.exchanges: deque[_Exchange] = deque()
+        self.unstarted: deque[RequestMessage] = deque()
+        self.unread = b''
+        self.has_sent_continue = False
+        self.is_ending = False
+        self.is_write_paused = False
         self.remote = ''
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Begin to read, or refuse: the listener holds so many connections at most."""
-        # The transport of another loop need not be a subclass of asyncio's.
+        """Start to read, or refuse the connection when the listener has too many."""
+        # Transports of other event loops need not inherit from asyncio.Transport.
         self.transport = cast(asyncio.Transport, transport)
-        # Any unsent byte pauses: a drain waits until the last answer has left the process.
+        # Pause writing on any unsent byte: a drain waits until the last response has left
+        # the process.
         self.transport.set_write_buffer_limits(high=0)
         enable_keepalive(transport)
         name = transport.get_extra_info('peername')
         self.remote = str(name[0]) if isinstance(name, tuple) else ''
-        self.face.connections.add(self)
-        if len(self.face.connections) > self.face.limits.max_connections:
+        self.listener.connections.add(self)
+        if len(self.listener.connections) > self.listener.limits.max_connections:
             self._refuse(Failure(ErrorKind.TOO_MANY_CONNECTIONS, retry_after=1.0))
             return
-        self._set_timer(self.face.limits.header_timeout)
+        self._set_timer(self.listener.limits.header_timeout)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """End the work: nobody will get its answers."""
-        self.face.connections.discard(self)
+        """Cancel the requests in progress: their responses can no longer be delivered."""
+        self.listener.connections.discard(self)
         self._stop_timer()
         if self.timer is not None:
             self.timer.cancel()
-        self._drop_work()
-        self.face.note_idle()
+        self._cancel_requests()
+        self.listener.note_idle()
 
     def data_received(self, data: bytes) -> None:
-        """Read on, within the bound of what is held unread."""
-        self.held = self.held + data if self.held else data
-        self._advance()
-        # Requests sent before the answer to the last one wait here. Without a bound a caller
-        # that never reads its answers could fill the memory.
-        if len(self.held) > self.face.limits.max_header_bytes:
+        """Buffer and process input; pause reading when too much of it is unread."""
+        self.unread = self.unread + data if self.unread else data
+        self._process_input()
+        # Pipelined requests wait in this buffer. Without a bound, a caller that never reads
+        # its responses could exhaust the memory.
+        if len(self.unread) > self.listener.limits.max_header_bytes:
             self.transport.pause_reading()
 
     def eof_received(self) -> bool:
-        """Close at once."""
-        # Most callers that go away send the same as one that only ends its sending side.
-        # Work for a caller that has gone is the waste that this system is against, so both
-        # count as gone: the call is cancelled down the chain.
+        """Close the connection."""
+        # A half-close cannot be told from a caller that has disconnected, which is by far the
+        # more frequent case. Both are treated as a disconnect, so that no work is done for a
+        # caller that has gone: the call is cancelled down the chain.
         return False
 
     def pause_writing(self) -> None:
-        """Note that an answer has not left the process."""
-        self.unsent = True
+        """Record that a response has not completely left the process."""
+        self.is_write_paused = True
 
     def resume_writing(self) -> None:
-        """Go on with the next answer."""
-        self.unsent = False
-        self.face.note_idle()
+        """Send the next response and process the input that waited for it."""
+        self.is_write_paused = False
+        self.listener.note_idle()
         if not self.transport.is_closing():
             self._flush()
-            self._advance()
+            self._process_input()
 
     @property
-    def busy(self) -> bool:
-        """Whether a request is being read or answered, or an answer still being sent."""
-        return bool(self.answering) or self._started() or self.unsent
+    def is_busy(self) -> bool:
+        """Whether a request is being read or answered, or a response is still being sent."""
+        return bool(self.exchanges) or self._has_pending_input() or self.is_write_paused
 
-    def _started(self) -> bool:
-        return bool(self.held or self.waiting) or not self.reader.idle
+    def _has_pending_input(self) -> bool:
+        return bool(self.unread or self.unstarted) or not self.reader.idle
 
     def _set_timer(self, timeout: float) -> None:
-        # Several times a request the bound moves, mostly outwards. A timer that fires early
-        # and is set again costs less than one cancelled each time.
-        self.expires_at = self.loop.time() + timeout
+        # The timeout changes several times per request and mostly moves later. A timer that
+        # fires early and is set again costs less than cancelling one at each change.
+        self.timeout_at = self.loop.time() + timeout
         if self.timer is not None:
-            if self.timer.when() <= self.expires_at:
+            if self.timer.when() <= self.timeout_at:
                 return
             self.timer.cancel()
-        self.timer = self.loop.call_at(self.expires_at, self._check_expired)
+        self.timer = self.loop.call_at(self.timeout_at, self._check_timeout)
 
     def _stop_timer(self) -> None:
-        self.expires_at = math.inf
+        self.timeout_at = math.inf
 
-    def _check_expired(self) -> None:
+    def _check_timeout(self) -> None:
         self.timer = None
-        if self.expires_at <= self.loop.time():
-            self._expired()
-        elif self.expires_at < math.inf:
-            self.timer = self.loop.call_at(self.expires_at, self._check_expired)
+        if self.timeout_at <= self.loop.time():
+            self._handle_timeout()
+        elif self.timeout_at < math.inf:
+            self.timer = self.loop.call_at(self.timeout_at, self._check_timeout)
 
-    def _expired(self) -> None:
-        if self.unsent or self.transport.is_closing():
+    def _handle_timeout(self) -> None:
+        if self.is_write_paused or self.transport.is_closing():
             self.transport.abort()
         elif not self.reader.idle:
             self._refuse(Failure(ErrorKind.REQUEST_TIMEOUT))
-        elif not self.answering:
+        elif not self.exchanges:
             self.transport.close()
 
     def _close(self) -> None:
-        """Close once all is sent, or after a while if the other side does not read."""
-        self.ending = True
-        self._drop_work()
+        """Close when all data is sent, or after a timeout if the other side does not read."""
+        self.is_ending = True
+        self._cancel_requests()
         self.transport.close()
-        self._set_timer(self.face.limits.header_timeout)
+        self._set_timer(self.listener.limits.header_timeout)
 
-    def _drop_work(self) -> None:
-        """End what nobody will get an answer to; requests behind a closing count as unread."""
-        for exchange in self.answering:
+    def _cancel_requests(self) -> None:
+        """Cancel all requests; those behind a ``Connection: close`` count as never read."""
+        for exchange in self.exchanges:
             if exchange.task is not None:
                 exchange.task.cancel()
-        self.answering.clear()
-        self.waiting.clear()
+        self.exchanges.clear()
+        self.unstarted.clear()
 
-    def _may_begin(self, method: bytes) -> bool:
-        """Whether a request may run beside those that are being answered."""
-        if not self.answering:
+    def _can_start(self, method: bytes) -> bool:
+        """Return whether a request may run concurrently with those in progress."""
+        if not self.exchanges:
             return True
-        if len(self.answering) >= self.face.pipeline:
+        if len(self.exchanges) >= self.listener.pipeline:
             return False
-        # RFC 9112, 9.3.2: one that changes something waits for those before it.
-        return method in SAFE_METHODS and self.answering[-1].method in SAFE_METHODS
-
-    def _advance(self) -> None:
-        """Begin what may begin, and read on when all that was read has begun."""
-        while not (self.ending or self.unsent or self.transport.is_closing()):
-            if self.waiting:
-                if not self._may_begin(self.waiting[0].method):
+        # RFC 9112, 9.3.2: an unsafe request waits for the requests before it.
+        return method in SAFE_METHODS and self.exchanges[-1].method in SAFE_METHODS
+
+    def _process_input(self) -> None:
+        """Start the requests that may run, and parse more input once all of them have started."""
+        while not (self.is_ending or self.is_write_paused or self.transport.is_closing()):
+            if self.unstarted:
+                if not self._can_start(self.unstarted[0].method):
                     break
-                self._begin(self.waiting.popleft())
-            elif self.held and len(self.answering) < self.face.pipeline:
-                self._read()
+                self._start_request(self.unstarted.popleft())
+            elif self.unread and len(self.exchanges) < self.listener.pipeline:
+                self._parse_input()
             else:
                 break
-        if not self.held and not self.transport.is_closing():
+        if not self.unread and not self.transport.is_closing():
             self.transport.resume_reading()
 
-    def _read(self) -> None:
-        # In pieces, so that few requests wait that were read and not begun.
-        size = self.face.limits.max_header_bytes
-        data, self.held = self.held[:size], self.held[size:]
+    def _parse_input(self) -> None:
+        # Parse in chunks, so that few parsed requests wait to be started.
+        size = self.listener.limits.max_header_bytes
+        data, self.unread = self.unread[:size], self.unread[size:]
         if self.reader.idle:
-            # A sender that trickles bytes would hold a connection for ever: the time runs
-            # over the whole request, not from byte to byte.
-            self._set_timer(self.face.limits.header_timeout)
+            # The timeout covers the whole request, not the gap between two bytes: a sender
+            # that trickles bytes would otherwise hold the connection forever.
+            self._set_timer(self.listener.limits.header_timeout)
         try:
-            self.waiting.extend(self.reader.feed(data))
+            self.unstarted.extend(self.reader.feed(data))
         except BodyTooLarge:
             self._refuse(Failure(ErrorKind.BODY_TOO_LARGE))
         except HeadTooLarge as exc:
             self._refuse(Failure(ErrorKind.HEADERS_TOO_LARGE, str(exc)))
         except MalformedMessage as exc:
             self._refuse(Failure(ErrorKind.MALFORMED_REQUEST, str(exc)))
-        if self.reader.expects_continue and not self.answering and not self.continued:
-            self.continued = True
-            self.transport.write(CONTINUE)
+        if self.reader.expects_continue and not self.exchanges and not self.has_sent_continue:
+            self.has_sent_continue = True
+            self.transport.write(CONTINUE_RESPONSE)
 
-    def _begin(self, message: RequestMessage) -> None:
+    def _start_request(self, message: RequestMessage) -> None:
         self._stop_timer()
-        self.continued = False
+        self.has_sent_continue = False
         exchange = _Exchange(message.method, keep_alive=message.keep_alive)
         if len(message.target) > MAX_TARGET_BYTES:
             self._refuse(Failure(ErrorKind.TARGET_TOO_LONG))
@@ -245,26 +234,26 @@
             message.body,
             self.remote,
         )
-        self.answering.append(exchange)
+        self.exchanges.append(exchange)
         exchange.task = self.loop.create_task(self._respond(exchange, req))
 
     async def _respond(self, exchange: _Exchange, req: HttpRequest) -> None:
         try:
-            response = await self.face.handler(req)
+            response = await self.listener.handler(req)
         except Exception:
-            self.face.on_fault(req)
-            response = self._fail(exchange, ErrorKind.INTERNAL)
+            self.listener.on_fault(req)
+            response = self._fail_and_close(exchange, ErrorKind.INTERNAL)
         exchange.task = None
         exchange.response = response
         if not self.transport.is_closing():
             self._flush()
-            self._advance()
+            self._process_input()
 
-    def _fail(self, exchange: _Exchange, kind: ErrorKind) -> HttpResponse:
+    def _fail_and_close(self, exchange: _Exchange, kind: ErrorKind) -> HttpResponse:
         exchange.keep_alive = False
         return failure_response(Failure(kind))
 
-    def _wire(self, exchange: _Exchange, response: HttpResponse) -> bytes:
+    def _serialize(self, exchange: _Exchange, response: HttpResponse) -> bytes:
         headers = [(n, v) for n, v in response.headers if n not in HOP_BY_HOP]
         bodiless = exchange.method == b'HEAD' or response.status in BODILESS_STATUSES
         if not bodiless:
@@ -273,39 +262,39 @@
             headers.append((b'connection', b'close'))
         return encode_response(response.status, headers, b'' if bodiless else response.body)
 
-    def _encoded(self, exchange: _Exchange) -> bytes:
+    def _encode_response(self, exchange: _Exchange) -> bytes:
         assert exchange.response is not None
-        if self.face.closing and not self.answering and not self.waiting:
-            # Not before the last: requests behind a closing count as unread, and those in
-            # progress have been passed on.
+        if self.listener.closing and not self.exchanges and not self.unstarted:
+            # Only the last response announces the close: requests behind it count as unread,
+            # while those in progress have already been passed on.
             exchange.keep_alive = False
         try:
-            return self._wire(exchange, exchange.response)
+            return self._serialize(exchange, exchange.response)
         except ValueError:
-            self.face.on_fault(HttpRequest(exchange.method.decode(), '', [], b'', self.remote))
-            return self._wire(exchange, self._fail(exchange, ErrorKind.INTERNAL))
+            self.listener.on_fault(HttpRequest(exchange.method.decode(), '', [], b'', self.remote))
+            return self._serialize(exchange, self._fail_and_close(exchange, ErrorKind.INTERNAL))
 
     def _flush(self) -> None:
-        """Send the answers that are due: each only when all before it have been sent."""
-        # One answer at a time is in memory: the next waits until this one is sent.
-        while self.answering and self.answering[0].done and not self.unsent:
-            exchange = self.answering.popleft()
-            self.transport.write(self._encoded(exchange))
+        """Send the responses that are ready, in the order of their requests."""
+        # Write one response at a time, to keep at most one encoded response in memory.
+        while self.exchanges and self.exchanges[0].done and not self.is_write_paused:
+            exchange = self.exchanges.popleft()
+            self.transport.write(self._encode_response(exchange))
             if not exchange.keep_alive:
                 self._close()
                 return
-        if self.answering or self.ending:
+        if self.exchanges or self.is_ending:
             return
-        limits = self.face.limits
-        self._set_timer(limits.header_timeout if self._started() else limits.idle_timeout)
-        self.face.note_idle()
+        limits = self.listener.limits
+        self._set_timer(limits.header_timeout if self._has_pending_input() else limits.idle_timeout)
+        self.listener.note_idle()
 
     def _refuse(self, failure: Failure) -> None:
-        """Answer what cannot be read any further, behind the answers before it."""
+        """Answer a request that cannot be processed, after the responses before it, and close."""
         self._stop_timer()
-        self.held = b''
+        self.unread = b''
         exchange = _Exchange(b'', keep_alive=False)
         exchange.response = failure_response(failure)
-        self.answering.append(exchange)
-        self.ending = True
+        self.exchanges.append(exchange)
+        self.is_ending = True
         self._flush()
--- a/dunlinsaddle/calls/call_state.py
+++ b/dunlinsaddle/calls/call_state.py
@@ -1,32 +1,24 @@
-"""One call inside a node, and the calls that the local target is running."""
-
+"""State of one call inside a node, and of the calls that the local target is running."""
 import asyncio
 import itertools
 import secrets
 from collections.abc import Callable
-from typing import NamedTuple
-
 from dunlinsaddle.calls.http import MIN_SERVER_ERROR_STATUS
-from dunlinsaddle.calls.messages import (
-    MAX_TIMEOUT_SECONDS,
-    Call,
-    Headers,
-    RelayedTargetState,
-    Reply,
-)
+from dunlinsaddle.calls.messages import Call, Headers, MAX_TIMEOUT_SECONDS, RelayedTargetState, Reply
 from dunlinsaddle.errors import Outcome
 from dunlinsaddle.policy.context import CallContext, Priority
 from dunlinsaddle.policy.retry import RetryAllowance
 from dunlinsaddle.records.models import Rank
 from dunlinsaddle.stats import Stats
+from typing import NamedTuple
 
-#: Tokens are drawn once and counted on: a draw for each call would be a system call more.
-_FIRST = secrets.token_hex(8)
-_numbers = itertools.count()
+#: A random prefix and a counter make up a token: random bytes per call would cost a system call.
+_TOKEN_PREFIX = secrets.token_hex(8)
+_token_numbers = itertools.count()
 
 
 class WaitTime:
-    """How long one call waited for a peer, a slot or the target, in seconds."""
+    """Seconds that one call has waited for a peer, for admission or for the target."""
 
     __slots__ = ('seconds',)
 
@@ -35,16 +27,16 @@
 
 
 class Attempt(NamedTuple):
-    """One send of a request: where, and how it ended."""
+    """One attempt to send a request: the instance it went to, and the result."""
 
     instance: str
-    kind: str  #: of the error, empty when the target answered
+    kind: str  #: the error kind, empty when the target answered
     status: int
     seconds: float
 
 
 class PendingCall(NamedTuple):
-    """A call with its context, and the retry tokens that it may still spend."""
+    """A call with its context and the retry tokens that it may still spend."""
 
     ctx: CallContext
     method: str
@@ -52,14 +44,14 @@
     headers: Headers
     body: bytes
     allowance: RetryAllowance
-    waits: WaitTime | None = None  #: None where nobody asks
-    attempts: list[Attempt] | None = None  #: sends so far; None where nobody asks
+    waits: WaitTime | None = None  #: None if not recorded
+    attempts: list[Attempt] | None = None  #: attempts so far; None if not recorded
 
 
 def build_call_frame(
-    call: PendingCall, now: float, handed: int, told: RelayedTargetState | None = None
+    call: PendingCall, now: float, tokens: int, target_status: RelayedTargetState | None = None
 ) -> Call:
-    """Give the frame that hands a call to another node."""
+    """Return the frame that forwards a call to another node with ``tokens`` retry tokens."""
     ctx = call.ctx
     return Call(
         id=0,
@@ -74,7 +66,7 @@
         rank=ctx.priority.rank,
         slot=ctx.priority.slot,
         timeout=ctx.deadline - now,
-        retry_tokens=handed,
+        retry_tokens=tokens,
         hop=ctx.hop,
         idempotent=ctx.idempotent,
         idempotency_key=ctx.key,
@@ -83,12 +75,12 @@
         useful_seconds=min(max(ctx.useful_until - now, 0.0), MAX_TIMEOUT_SECONDS),
         resent=ctx.is_resend,
         organisation=ctx.organisation,
-        target_state=told,
+        target_state=target_status,
     )
 
 
 def read_call_frame(frame: Call, now: float) -> PendingCall:
-    """Give the call that a frame brought; its deadline is counted from its arrival."""
+    """Return the call from a received frame; its deadline counts from its arrival ``now``."""
     ctx = CallContext(
         request_id=frame.request_id,
         caller=frame.caller,
@@ -112,111 +104,119 @@
     )
 
 
-def record_added_latency(stats: Stats, call: PendingCall, reply: Reply, took: float) -> None:
-    """Count what this node added to an answered call that was here for ``took`` seconds.
+def record_added_latency(stats: Stats, call: PendingCall, reply: Reply, elapsed: float) -> None:
+    """Record the latency that this node added to a call answered after ``elapsed`` seconds.
 
-    Calls that run once at most also wait for the owner of their key, which is not known here,
-    so they are left out.
+    Calls that are not idempotent are left out: they also wait for the owner of their key, and
+    that time is not known here.
     """
     if call.waits is not None and call.ctx.idempotent and reply.outcome is Outcome.DONE:
-        stats.added(max(took - call.waits.seconds, 0.0))
+        stats.added(max(elapsed - call.waits.seconds, 0.0))
 
 
 class RunningCall:
-    """A call that the local target is running, and the calls it makes meanwhile."""
+    """A call that the local target is running, and the downstream calls made for it."""
 
     def __init__(
-        self, call: PendingCall, now: float, on_wait: Callable[[float, bool], None] | None = None
+        self,
+        call: PendingCall,
+        now: float,
+        on_wait_change: Callable[[float, bool], None] | None = None,
     ) -> None:
         self.call = call
-        self.token = f'{_FIRST}{next(_numbers):x}'
+        self.token = f'{_TOKEN_PREFIX}{next(_token_numbers):x}'
         self.started = now
         self.children: set[asyncio.Task[object]] = set()
-        self.downstream_failure = ''  #: the deepest cause of a call of its that failed
-        self.downstream_cost = 0.0  #: of its calls, in seconds of a whole target of their service
-        self.downstream_retry_after = 0.0  #: seconds, as a call that was refused below was told
-        self._on_wait = on_wait
-        self._open = 0
-        self._opened_at = 0.0
-        self._away = 0.0
+        self.downstream_failure = ''  #: root cause of a failed downstream call
+        #: Sum over its downstream calls, in seconds of a whole target of their service.
+        self.downstream_cost = 0.0
+        self.downstream_retry_after = 0.0  #: seconds, the longest of refused downstream calls
+        self._on_wait_change = on_wait_change
+        self._open_waits = 0
+        self._wait_started_at = 0.0
+        self._waited_seconds = 0.0
 
     def begin_downstream_wait(self, now: float) -> None:
-        """Note that the target begins to wait for another service."""
-        if not self._open:
-            self._opened_at = now
-            self._tell(now, waits=True)
-        self._open += 1
+        """Record that the target starts to wait for another service."""
+        if not self._open_waits:
+            self._wait_started_at = now
+            self._notify_wait_change(now, is_waiting=True)
+        self._open_waits += 1
 
     def end_downstream_wait(self, now: float) -> None:
-        """Note the end of one such wait."""
-        self._open -= 1
-        if not self._open:
-            self._away += now - self._opened_at
-            self._tell(now, waits=False)
+        """Record the end of one wait for another service."""
+        self._open_waits -= 1
+        if not self._open_waits:
+            self._waited_seconds += now - self._wait_started_at
+            self._notify_wait_change(now, is_waiting=False)
 
-    def _tell(self, now: float, *, waits: bool) -> None:
-        if self._on_wait is not None:
-            self._on_wait(now, waits)
+    def _notify_wait_change(self, now: float, *, is_waiting: bool) -> None:
+        if self._on_wait_change is not None:
+            self._on_wait_change(now, is_waiting)
 
     def processing_seconds(self, now: float) -> float:
-        """Give the seconds that the target spent itself.
+        """Return the seconds that the target spent on the call itself, without downstream waits.
 
-        A target that waits for a slow service is not overloaded: with that wait counted in,
-        a slow service deep down would shrink the limits of every target above it.
+        A target that waits for a slow service is not overloaded. If the wait were included, a
+        slow service deep in the call graph would lower the concurrency limit of every target
+        above it.
         """
-        away = self._away + (now - self._opened_at if self._open else 0.0)
-        return max(now - self.started - away, 0.0)
+        waited_seconds = self._waited_seconds + (
+            now - self._wait_started_at if self._open_waits else 0.0
+        )
+        return max(now - self.started - waited_seconds, 0.0)
 
 
 class RunningCalls:
-    """The calls in progress at the local target, by the token that the target passes on."""
+    """The calls in progress at the local target, by the token that the target propagates."""
 
     def __init__(self) -> None:
-        self._calls: dict[str, RunningCall] = {}
+        self._by_token: dict[str, RunningCall] = {}
         self._by_request: dict[str, RunningCall] = {}
         self._idle = asyncio.Event()
         self._idle.set()
 
     def add(self, running: RunningCall) -> None:
-        """Note a call that is about to be given to the target."""
-        self._calls[running.token] = running
+        """Add a call that is about to be sent to the target."""
+        self._by_token[running.token] = running
         self._by_request[running.call.ctx.request_id] = running
         self._idle.clear()
 
     def remove(self, running: RunningCall) -> None:
-        """Note its end; calls it still has out are cancelled, for nobody waits for them."""
-        self._calls.pop(running.token, None)
+        """Remove a call that has ended, and cancel its downstream calls still in progress."""
+        self._by_token.pop(running.token, None)
         request_id = running.call.ctx.request_id
         if self._by_request.get(request_id) is running:
             del self._by_request[request_id]
         for task in list(running.children):
             task.cancel()
-        if not self._calls:
+        if not self._by_token:
             self._idle.set()
 
     async def wait_idle(self) -> None:
-        """Wait until none is in progress."""
+        """Wait until no call is in progress."""
         await self._idle.wait()
 
     def find(self, token: str) -> RunningCall | None:
-        """Give the call that a token belongs to."""
-        return self._calls.get(token)
+        """Return the running call with this token, or None."""
+        return self._by_token.get(token)
 
     def find_parent(self, request_id: str) -> RunningCall | None:
-        """Give the call that a request is made for, by its id; None if none is known.
+        """Return the running call that a request was made for, by its request id, or None.
 
-        Targets that pass no token derive the ids of their calls from the id that they work for:
-        a separator and a part of its own behind it. Only an id that extends one which the
-        local target is running now says so; every other request counts as one at the entry.
+        Targets that propagate no token derive the request ids of their downstream calls from
+        the id of the call that they run, by appending a separator and a suffix. A request
+        counts as a downstream call only if its id extends the id of a call that the local
+        target is running now; any other request counts as coming from outside.
         """
         return self._by_request.get(_parent_id(request_id))
 
     def __len__(self) -> int:
-        return len(self._calls)
+        return len(self._by_token)
 
 
 def is_derived_request_id(request_id: str) -> bool:
-    """Say whether an id has the form of those that targets give to their calls."""
+    """Return whether a request id has the form of ids that targets derive for their calls."""
     return bool(_parent_id(request_id))
 
 
@@ -228,11 +228,11 @@
 
 
 def downstream_retry_after(reply: Reply, running: RunningCall) -> float:
-    """Give the seconds after which a call that failed for a refusal below may come again.
+    """Return the Retry-After seconds of a call that failed because a downstream call was refused.
 
-    Targets answer a refused call of theirs with a status of their own, mostly 502 and without
-    Retry-After. The caller would ask again at once, and the routers would take the overload of
-    a service below for a fault of this target.
+    When a downstream call is refused, targets mostly answer 502 without Retry-After. Without
+    this value the caller would retry at once, and routers would count the overload of the
+    downstream service as an error of this target.
     """
     failed = reply.status >= MIN_SERVER_ERROR_STATUS and running.call.ctx.idempotent
     if not failed or any(name == b'retry-after' for name, _ in reply.headers):
--- a/dunlinsaddle/calls/dispatch.py
+++ b/dunlinsaddle/calls/dispatch.py
@@ -1,8 +1,5 @@
-"""Sends a call to a target of its service, again elsewhere where that is safe."""
-
+"""Dispatch of a call to a target of its service, with resends to others where that is safe."""
 import asyncio
-from typing import TYPE_CHECKING, NamedTuple, Protocol
-
 from dunlinsaddle.calls.call_state import Attempt, PendingCall, build_call_frame
 from dunlinsaddle.calls.decisions import DecisionLog
 from dunlinsaddle.calls.execute import Executor
@@ -18,76 +15,75 @@
 from dunlinsaddle.policy.retry import LOST_ANSWER_KINDS, REFUSED_BY_NODE, RetryAllowance, may_resend
 from dunlinsaddle.policy.route import Candidate, Router
 from dunlinsaddle.stats import Stats
+from typing import NamedTuple, Protocol, TYPE_CHECKING
 
 if TYPE_CHECKING:
     from dunlinsaddle.calls.idempotency import IdempotencyRouter
 
-#: Seconds that a call must have left to be sent again. With less it is hardly answered, and one
-#: that is known not to have run would be begun after all.
+#: Time before its deadline that a call must have left to be resent. With less it is unlikely to be
+#: answered in time, and a call that is known not to have run would be started in vain.
 MIN_RESEND_SECONDS = 0.05
-NO_TARGET_RETRY_AFTER_SECONDS = (
-    1.0  #: seconds; within one, a target that is back has been announced
-)
-#: What a request is said to have failed for that was refused as others of its rule fail.
+NO_TARGET_RETRY_AFTER_SECONDS = 1.0  #: a target that has returned is announced by then
+#: Cause that is reported for a request refused because other requests of its rule fail.
 RULE_FAILING_CAUSE = 'calls of its rule fail'
-#: How a call ends that no target was given.
+#: Error kinds of calls that were not sent to any target.
 NOT_DELIVERED_KINDS = frozenset(kind.value for kind in REFUSED_BY_NODE)
-#: How a call ends that a target was given and has not answered; told by the node beside it.
-LOST_KINDS = frozenset(kind.value for kind in LOST_ANSWER_KINDS)
+#: Error kinds, as reported by the node beside a target, of calls whose response was lost.
+LOST_RESPONSE_KINDS = frozenset(kind.value for kind in LOST_ANSWER_KINDS)
 
 
-class _Choices(NamedTuple):
-    """What the router is given for one service, as long as the view gives the same list."""
+class _CandidateSet(NamedTuple):
+    """Input of the router for one service, cached while the view returns the same list."""
 
     serving: list[Member]
     members: dict[str, Member]
     candidates: list[Candidate]
 
 
-def _choices(serving: list[Member]) -> _Choices:
+def _build_candidate_set(serving: list[Member]) -> _CandidateSet:
     members = {m.instance: m for m in serving}
-    return _Choices(serving, members, to_candidates(members.values()))
+    return _CandidateSet(serving, members, to_candidates(members.values()))
 
 
 class ResendPolicy(Protocol):
-    """Which calls may be sent to a further target, and who pays for it."""
+    """Decides which calls may be resent to another target, and accounts for their cost."""
 
     def allows(self, call: PendingCall, reply: Reply) -> bool:
-        """Say whether another target may be given a call that ended so."""
+        """Return whether a call that ended with this reply may be sent to another target."""
 
     def spend(self, call: PendingCall, reply: Reply) -> bool:
-        """Pay for sending it; False when there is nothing left to pay with."""
+        """Spend a token on a resend; return False if none is left."""
 
     def prepare_resend(self, call: PendingCall, reply: Reply) -> PendingCall:
-        """Give the call as it is sent once more."""
+        """Return the call as it is to be resent."""
 
     def is_limited_to_tried_targets(self, call: PendingCall) -> bool:
-        """Say whether it goes to the targets that were given it, and to no further one."""
+        """Return whether resends go only to targets that were sent the call before."""
 
 
 class AllowanceResendPolicy:
-    """The product's own way: an allowance that travels down the chain with the request."""
+    """Default policy: a retry allowance that is passed down the chain with the request."""
 
     def allows(self, call: PendingCall, reply: Reply) -> bool:
-        """Allow what provably did not run, and what is idempotent and was lost."""
+        """Allow calls that provably did not run, and idempotent ones whose response was lost."""
         kind = ErrorKind(reply.kind) if reply.kind else None
         return may_resend(kind, reply.outcome, idempotent=call.ctx.idempotent)
 
     def spend(self, call: PendingCall, reply: Reply) -> bool:
-        """Take a token of the request's allowance."""
+        """Spend a token of the request's allowance."""
         return call.allowance.spend()
 
     def prepare_resend(self, call: PendingCall, reply: Reply) -> PendingCall:
-        """Send it as it was."""
+        """Return the call unchanged."""
         return call
 
     def is_limited_to_tried_targets(self, call: PendingCall) -> bool:
-        """Send it to further targets only."""
+        """Return False: a resend always goes to a target not tried before."""
         return False
 
 
 class Dispatcher(OnLoop):
-    """Chooses a target, hands the call over, and spends the retry allowance."""
+    """Chooses a target, sends the call to it, and spends the retry allowance on resends."""
 
     def __init__(
         self,
@@ -109,15 +105,16 @@
         self.idempotency_router: IdempotencyRouter | None = None
         self.resend_policy: ResendPolicy = AllowanceResendPolicy()
         self.decisions: DecisionLog | None = None
-        self._choices: dict[str, _Choices] = {}
-        #: By the instance beside the target. It goes back with each call: a node that has started
-        #: again knows nothing of a target that goes on, and would take it for one like any other.
-        self._told: dict[str, RelayedTargetState] = {}
+        self._candidate_sets: dict[str, _CandidateSet] = {}
+        #: What targets reported of themselves, by instance. It is sent back with each call: a node
+        #: that has restarted beside a running target has lost the report, and would handle it as
+        #: a target that has reported nothing.
+        self._target_statuses: dict[str, RelayedTargetState] = {}
 
     async def dispatch(self, call: PendingCall, parent_rule: str = '') -> Reply:
-        """Give a call to one target after another until one answer is final.
+        """Send a call to one target after another until a reply is final.
 
-        ``parent_rule`` is the rule that the local target works on and makes this call for.
+        ``parent_rule`` is the rule of the running call that the local target makes this call for.
         """
         if parent_rule:
             now = self.now()
@@ -127,82 +124,84 @@
         return self.find_early_refusal(call) or await self.send(call)
 
     def find_early_refusal(self, call: PendingCall) -> Reply | None:
-        """Give the refusal of what a service further down would refuse, None where none would."""
-        failure = self._early_refusal(call.ctx)
-        return None if failure is None else self._refused_early(call, failure)
+        """Return the refusal of a call that a downstream service would refuse, or None."""
+        failure = self._check_downstream_levels(call.ctx)
+        return None if failure is None else self._refuse_early(call, failure)
 
     def refuse_failing_rule(self, call: PendingCall) -> Reply:
-        """Refuse a request that would begin in vain, with a time to come back."""
+        """Refuse a request whose rule mostly fails, with a Retry-After."""
         useful_for = call.ctx.useful_until - self.now()
-        early = self._refused_early(call, self.executor.levels.refuse(useful_for))
-        early.cause = RULE_FAILING_CAUSE
-        return early
+        reply = self._refuse_early(call, self.executor.levels.refuse(useful_for))
+        reply.cause = RULE_FAILING_CAUSE
+        return reply
 
-    def _refused_early(self, call: PendingCall, failure: Failure) -> Reply:
+    def _refuse_early(self, call: PendingCall, failure: Failure) -> Reply:
         self.stats.shed[failure.kind.value] += 1
-        early = refusal(failure)
-        early.unspent_retry_tokens = call.allowance.tokens
-        return early
+        reply = refusal(failure)
+        reply.unspent_retry_tokens = call.allowance.tokens
+        return reply
 
     async def send(self, call: PendingCall) -> Reply:
-        """Send a call that no early refusal stops to one target after another."""
-        tried: set[str] = set()
-        given: set[str] = set()
-        last: Reply | None = None
-        answered: Reply | None = None
+        """Send a call to one target after another, without a check for an early refusal."""
+        tried_instances: set[str] = set()
+        delivered_to: set[str] = set()
+        last_reply: Reply | None = None
+        target_reply: Reply | None = None
         may_have_run = False
         while True:
-            member = self._next(call, tried, given)
+            member = self._next_member(call, tried_instances, delivered_to)
             if member is None:
-                last = last or self._nobody(call.ctx)
+                last_reply = last_reply or self._no_target_reply(call.ctx)
                 break
-            if last is not None and not self.resend_policy.spend(call, last):
+            if last_reply is not None and not self.resend_policy.spend(call, last_reply):
                 break
-            if last is not None:
-                self._note_resend(call, last, len(tried))
-                call = self.resend_policy.prepare_resend(call, last)
-            tried.add(member.instance)
-            last = await self._try(call, member)
-            call = self._after(call, last)
-            may_have_run = may_have_run or last.outcome is not Outcome.NOT_RUN
-            if not last.kind:
-                answered = last
-            if last.kind not in NOT_DELIVERED_KINDS:
-                given.add(member.instance)
-            if not self._may_resend(call, last):
+            if last_reply is not None:
+                self._note_resend(call, last_reply, len(tried_instances))
+                call = self.resend_policy.prepare_resend(call, last_reply)
+            tried_instances.add(member.instance)
+            last_reply = await self._send_to(call, member)
+            call = self._record_deaths(call, last_reply)
+            may_have_run = may_have_run or last_reply.outcome is not Outcome.NOT_RUN
+            if not last_reply.kind:
+                target_reply = last_reply
+            if last_reply.kind not in NOT_DELIVERED_KINDS:
+                delivered_to.add(member.instance)
+            if not self._may_resend(call, last_reply):
                 break
-        if last.kind and answered is not None:
-            # A target has answered, if only with a failure: that tells the caller more than
-            # why nobody else did.
-            last = answered
-        last.unspent_retry_tokens = call.allowance.tokens
-        return _truthful(last) if may_have_run else last
-
-    def _next(self, call: PendingCall, tried: set[str], given: set[str]) -> Member | None:
+        if last_reply.kind and target_reply is not None:
+            # A response of a target, even an error, tells the caller more than the reason why
+            # no other target answered.
+            last_reply = target_reply
+        last_reply.unspent_retry_tokens = call.allowance.tokens
+        return _correct_outcome(last_reply) if may_have_run else last_reply
+
+    def _next_member(
+        self, call: PendingCall, tried_instances: set[str], delivered_to: set[str]
+    ) -> Member | None:
         service = call.ctx.service
-        if not given or not self.resend_policy.is_limited_to_tried_targets(call):
-            return self.choose_member(service, tried)
+        if not delivered_to or not self.resend_policy.is_limited_to_tried_targets(call):
+            return self.choose_member(service, tried_instances)
         return self.choose_member(
-            service, {m.instance for m in self.view.serving_members(service)} - given
+            service, {m.instance for m in self.view.serving_members(service)} - delivered_to
         )
 
-    def _note_resend(self, call: PendingCall, last: Reply, tries: int) -> None:
+    def _note_resend(self, call: PendingCall, last_reply: Reply, attempts: int) -> None:
         self.stats.retries += 1
         if self.decisions is not None:
-            self.decisions.log_resent(call.ctx, last, tries)
+            self.decisions.log_resent(call.ctx, last_reply, attempts)
 
     async def _dispatch_at_most_once(self, router: 'IdempotencyRouter', call: PendingCall) -> Reply:
-        """Take the way of calls that must run at most once; it has no early refusal.
+        """Dispatch a call that must run at most once; it is never refused early.
 
-        A key that is sent again may have run before. Only its owner knows, so nobody else
-        may say of it that it was not run.
+        A key that is resent may have run before. Only its owner knows, so no other node may
+        answer that it did not run.
         """
         reply = await router.handle(call)
-        self._learn(self.now(), call, reply)
-        self._after(call, reply)
+        self._learn_level(self.now(), call, reply)
+        self._record_deaths(call, reply)
         return reply
 
-    def _early_refusal(self, ctx: CallContext) -> Failure | None:
+    def _check_downstream_levels(self, ctx: CallContext) -> Failure | None:
         now = self.now()
         levels, level = self.executor.levels, ctx.priority.level
         useful_for = ctx.useful_until - now
@@ -212,129 +211,133 @@
             return None
         return failure
 
-    def choose_member(self, service: str, tried: set[str]) -> Member | None:
-        """Give the member to send a call to, or None when all were tried."""
+    def choose_member(self, service: str, tried_instances: set[str]) -> Member | None:
+        """Return the member to send a call to, or None when all have been tried."""
         serving = self.view.serving_members(service)
-        known = self._choices.get(service)
-        if known is None or known.serving is not serving:
-            known = self._choices[service] = _choices(serving)
+        candidate_set = self._candidate_sets.get(service)
+        if candidate_set is None or candidate_set.serving is not serving:
+            candidate_set = self._candidate_sets[service] = _build_candidate_set(serving)
         now = self.now()
-        chosen = self.router.choose(now, known.candidates, frozenset(tried))
-        return known.members[chosen.instance] if chosen else None
+        chosen = self.router.choose(now, candidate_set.candidates, frozenset(tried_instances))
+        return candidate_set.members[chosen.instance] if chosen else None
 
-    async def _try(self, call: PendingCall, member: Member) -> Reply:
+    async def _send_to(self, call: PendingCall, member: Member) -> Reply:
         loop = self.loop
-        handed = call.allowance.delegate()
+        tokens = call.allowance.delegate()
         if self.decisions is not None:
-            known = len(self.view.serving_members(call.ctx.service))
+            candidate_count = len(self.view.serving_members(call.ctx.service))
             load = self.router.latest_load(member.instance)
-            self.decisions.log_sent(call.ctx, member.instance, load, known)
-        began = loop.time()
+            self.decisions.log_sent(call.ctx, member.instance, load, candidate_count)
+        started_at = loop.time()
         self.router.record_sent(member.instance)
         try:
-            exchange = await self._hand_over(call, member, handed)
+            exchange = await self._hand_over(call, member, tokens)
         except asyncio.CancelledError:
             self.router.record_answer(self.now(), member.instance, None)
-            self._timed(call.ctx, member, began, whole=False)
+            self._record_duration(call.ctx, member, started_at, whole=False)
             raise
-        reply = self._judge(call, member, handed, exchange)
-        took = self._timed(call.ctx, member, began, whole=_whole(reply))
+        reply = self._process_exchange(call, member, tokens, exchange)
+        elapsed = self._record_duration(call.ctx, member, started_at, whole=_is_success(reply))
         if call.attempts is not None:
-            call.attempts.append(Attempt(member.instance, reply.kind, reply.status, took))
+            call.attempts.append(Attempt(member.instance, reply.kind, reply.status, elapsed))
         return reply
 
-    def _timed(self, ctx: CallContext, member: Member, began: float, *, whole: bool) -> float:
+    def _record_duration(
+        self, ctx: CallContext, member: Member, started_at: float, *, whole: bool
+    ) -> float:
         now = self.now()
-        self.router.record_duration(now, member.instance, ctx.rule, now - began, completed=whole)
-        return round(now - began, 4)
+        self.router.record_duration(now, member.instance, ctx.rule, now - started_at, completed=whole)
+        return round(now - started_at, 4)
 
-    def _judge(
-        self, call: PendingCall, member: Member, handed: int, exchange: Reply | NotSent | Lost
+    def _process_exchange(
+        self, call: PendingCall, member: Member, tokens: int, exchange: Reply | NotSent | Lost
     ) -> Reply:
-        """Learn from how a send ended, and give the reply that it amounts to."""
+        """Update the routing state with the result of an attempt, and convert it to a reply."""
         now = self.now()
         match exchange:
             case Reply():
-                self._heard(now, member, exchange)
-                self._learn(now, call, exchange)
-                call.allowance.reclaim(handed, exchange.unspent_retry_tokens)
+                self._update_router(now, member, exchange)
+                self._learn_level(now, call, exchange)
+                call.allowance.reclaim(tokens, exchange.unspent_retry_tokens)
                 return exchange
             case NotSent(detail):
                 self.router.record_failure(now, member.instance)
-                call.allowance.reclaim(handed, handed)
+                call.allowance.reclaim(tokens, tokens)
                 return refusal(Failure(ErrorKind.NO_TARGET, detail, NO_TARGET_RETRY_AFTER_SECONDS))
             case Lost(detail, kind):
                 self.router.record_failure(now, member.instance)
                 return refusal(Failure(kind, detail))
 
     async def _hand_over(
-        self, call: PendingCall, member: Member, handed: int
+        self, call: PendingCall, member: Member, tokens: int
     ) -> Reply | NotSent | Lost:
         if member.instance == self.instance:
-            return await self.executor.execute(call._replace(allowance=RetryAllowance(handed)))
+            return await self.executor.execute(call._replace(allowance=RetryAllowance(tokens)))
         loop = self.loop
         now = loop.time()
-        frame = build_call_frame(call, now, handed, self._told.get(member.instance))
+        frame = build_call_frame(call, now, tokens, self._target_statuses.get(member.instance))
         exchange = await self.links.call(member.peers, frame)
         if call.waits is not None:
             call.waits.seconds += loop.time() - now
         return exchange
 
-    def _heard(self, now: float, member: Member, reply: Reply) -> None:
-        self._learn_told(now, member, reply)
-        if reply.kind in LOST_KINDS:
+    def _update_router(self, now: float, member: Member, reply: Reply) -> None:
+        self._store_target_status(now, member, reply)
+        if reply.kind in LOST_RESPONSE_KINDS:
             self.router.record_failure(now, member.instance)
             return
         failed = not reply.kind and reply.status >= MIN_SERVER_ERROR_STATUS
-        # One that turns calls away has the fewest in flight, and would draw ever more of them.
-        turned_away = reply.kind == ErrorKind.TARGET_REFUSED.value
-        error = turned_away or (failed and reply.retry_after <= 0)
+        # A target that rejects calls has the fewest in flight. Without counting its rejections
+        # as errors, it would attract ever more calls.
+        is_turned_away = reply.kind == ErrorKind.TARGET_REFUSED.value
+        error = is_turned_away or (failed and reply.retry_after <= 0)
         self.router.record_answer(now, member.instance, reply.load, error=error)
         if reply.kind in (ErrorKind.DRAINING.value, ErrorKind.NO_TARGET.value):
             self.router.avoid_leaving(now, member.instance)
 
-    def _learn_told(self, now: float, member: Member, reply: Reply) -> None:
-        told = reply.target_state
-        if told is not None:
-            self._told[member.instance] = told
-            self.router.record_rate(now, member.instance, told.rate, told.rate_use)
+    def _store_target_status(self, now: float, member: Member, reply: Reply) -> None:
+        status = reply.target_state
+        if status is not None:
+            self._target_statuses[member.instance] = status
+            self.router.record_rate(now, member.instance, status.rate, status.rate_use)
         elif not reply.kind:
-            # The target has answered, and says nothing of itself any more.
-            self._told.pop(member.instance, None)
+            # The target has answered without a report of itself: the previous one has expired.
+            self._target_statuses.pop(member.instance, None)
             self.router.record_rate(now, member.instance, None)
 
-    def _learn(self, now: float, call: PendingCall, reply: Reply) -> None:
-        if reply.load is not None and self._speaks_for_service(call.ctx.service, reply):
+    def _learn_level(self, now: float, call: PendingCall, reply: Reply) -> None:
+        if reply.load is not None and self._is_service_level(call.ctx.service, reply):
             self.executor.levels.record_response(
                 now, call.ctx.service, call.ctx.rule, reply.load.reported_level
             )
 
-    def _speaks_for_service(self, service: str, reply: Reply) -> bool:
-        """Say whether the level that came with a reply is one to refuse requests by.
+    def _is_service_level(self, service: str, reply: Reply) -> bool:
+        """Return whether the level in a reply is valid for the whole service.
 
-        Failure: one of three targets names a rate of .5 a second, and by its level entries refuse
-        a quarter of the views, which the other two have room for. What a target with a rate does
-        not take goes to those without; theirs is the level of the service.
+        Calls that a target with a rate limit does not accept go to the targets without one, so
+        the latter determine the level of the service. Otherwise, when one of three targets named
+        a rate of 0.5 calls a second, entry nodes refused a quarter of the requests by its level
+        although the other two targets had free capacity.
         """
-        if not _names_rate(reply.target_state):
+        if not _has_named_rate(reply.target_state):
             return True
         if reply.load is not None and reply.load.limited_by != service:
             return True
-        told = self._told
-        return all(_names_rate(told.get(m.instance)) for m in self.view.serving_members(service))
+        statuses = self._target_statuses
+        return all(_has_named_rate(statuses.get(m.instance)) for m in self.view.serving_members(service))
 
-    def _after(self, call: PendingCall, reply: Reply) -> PendingCall:
-        """Carry on with the call what its last try taught."""
+    def _record_deaths(self, call: PendingCall, reply: Reply) -> PendingCall:
+        """Record the target crashes reported by a reply, and return the call with their number."""
         if not reply.deaths:
             return call
         now = self.now()
         deaths = self.quarantine.merge_deaths(now, call.ctx.fingerprint, reply.deaths)
         return call._replace(ctx=call.ctx._replace(deaths=deaths))
 
-    def _nobody(self, ctx: CallContext) -> Reply:
+    def _no_target_reply(self, ctx: CallContext) -> Reply:
         now = self.now()
         self.executor.levels.record_unavailable(now, ctx.service, ctx.rule)
-        detail = f'no target of {ctx.service} is known'
+        detail = f'no target of service {ctx.service} is known'
         return refusal(Failure(ErrorKind.NO_TARGET, detail, NO_TARGET_RETRY_AFTER_SECONDS))
 
     def _may_resend(self, call: PendingCall, reply: Reply) -> bool:
@@ -345,19 +348,19 @@
         return self.resend_policy.allows(call, reply)
 
 
-def _whole(reply: Reply) -> bool:
+def _is_success(reply: Reply) -> bool:
     return not reply.kind and reply.status < MIN_SERVER_ERROR_STATUS
 
 
-def _names_rate(told: RelayedTargetState | None) -> bool:
-    return told is not None and told.rate is not None
+def _has_named_rate(status: RelayedTargetState | None) -> bool:
+    return status is not None and status.rate is not None
 
 
-def _truthful(reply: Reply) -> Reply:
-    """Keep a refusal from saying "not run" when an earlier try of the same call may have run."""
+def _correct_outcome(reply: Reply) -> Reply:
+    """Replace a refusal by "outcome unknown": an earlier attempt of the call may have run."""
     if reply.outcome is not Outcome.NOT_RUN:
         return reply
-    detail = f'a first try was lost, the last was refused: {reply.kind}'
-    told = refusal(Failure(ErrorKind.OUTCOME_UNKNOWN, detail), load=reply.load)
-    told.unspent_retry_tokens = reply.unspent_retry_tokens
-    return told
+    detail = f'an earlier attempt was lost, the last one was refused: {reply.kind}'
+    corrected = refusal(Failure(ErrorKind.OUTCOME_UNKNOWN, detail), load=reply.load)
+    corrected.unspent_retry_tokens = reply.unspent_retry_tokens
+    return corrected
--- a/dunlinsaddle/calls/handlers.py
+++ b/dunlinsaddle/calls/handlers.py
@@ -1,56 +1,40 @@
-"""The faces for callers and for the local target."""
-
+"""HTTP handlers for requests of callers and of the local target."""
 import asyncio
-from collections.abc import Callable
-from typing import TypedDict
-
 import msgspec
 import uuid6
 import xxhash
-
-from dunlinsaddle.calls.call_state import (
-    PendingCall,
-    RunningCall,
-    RunningCalls,
-    WaitTime,
-    record_added_latency,
-)
+from collections.abc import Callable
+from dunlinsaddle.calls.call_state import PendingCall, RunningCall, RunningCalls, WaitTime, record_added_latency
 from dunlinsaddle.calls.dispatch import Dispatcher
-from dunlinsaddle.calls.http import (
-    HttpRequest,
-    HttpResponse,
-    failure_response,
-    forwarded_headers,
-    json_response,
-    response_from_reply,
-)
+from dunlinsaddle.calls.http import HttpRequest, HttpResponse, failure_response, forwarded_headers, json_response, response_from_reply
 from dunlinsaddle.calls.messages import Reply, refusal
 from dunlinsaddle.calls.target import LocalTarget
 from dunlinsaddle.errors import ErrorKind, Failure, Outcome
 from dunlinsaddle.policy.callers import ResendGuard
 from dunlinsaddle.policy.classify import classify
-from dunlinsaddle.policy.context import MAX_HOPS, CallContext, inherit_priority, priority_of
+from dunlinsaddle.policy.context import CallContext, MAX_HOPS, inherit_priority, priority_of
 from dunlinsaddle.policy.retry import RetryAllowance
 from dunlinsaddle.records.book import RecordBook
 from dunlinsaddle.records.models import Mode, RequestRule, ServiceRecord
 from dunlinsaddle.settings import read_address
 from dunlinsaddle.stats import CallLabel, Stats
+from typing import TypedDict
 
-MAX_ID_LENGTH = 128  #: characters; ids in use have 16 to 36
+MAX_ID_LENGTH = 128  #: characters; common formats of request ids have 16 to 36
 KEYS_PATH = '/-/keys/'
-NO_RECORD_RETRY_AFTER_SECONDS = 1.0  #: seconds; by judgement
+NO_RECORD_RETRY_AFTER_SECONDS = 1.0
 UNTRACED_RULE = RequestRule('untraced', '*', '/**')
 
 
 class Announcement(TypedDict):
-    """What a target says when it announces itself."""
+    """Body of the request by which a target announces its service and its address."""
 
     service: str
     address: str
 
 
 class ServicePath(TypedDict):
-    """The service that a path names, and the rest of the path."""
+    """A request path split into the service name and the rest."""
 
     service: str
     rest: str
@@ -66,17 +50,17 @@
     return ServicePath(service=service.partition('?')[0], rest=f'/{rest}' if slash else '/')
 
 
-def parse_timeout(text: str, common: float) -> float:
-    """Read a Request-Timeout header: seconds, at most the record's deadline."""
+def parse_timeout(text: str, default: float) -> float:
+    """Parse a Request-Timeout header: seconds, at most ``default``, or that if invalid."""
     try:
         seconds = float(text)
     except ValueError:
-        return common
-    return min(seconds, common) if seconds > 0 else common
+        return default
+    return min(seconds, default) if seconds > 0 else default
 
 
 class CallerHandler:
-    """Any node is an entry: it classifies a request, gives it its budget, and sends it on."""
+    """Handles requests of callers, at any node: classifies a request and dispatches it."""
 
     def __init__(
         self,
@@ -92,27 +76,27 @@
         self.resend_guard = ResendGuard()
 
     async def handle(self, req: HttpRequest) -> HttpResponse:
-        """Answer one request of a caller."""
+        """Handle one request of a caller."""
         if req.path.startswith(KEYS_PATH):
             return await self._mint_key(req)
         path = split_path(req.path)
         record = self.book.find(path['service'])
         if record is None:
-            return failure_response(_no_record(req, path['service']))
+            return failure_response(_no_record_failure(req, path['service']))
         rule = classify(record, req.method, path['rest'])
         loop = asyncio.get_running_loop()
-        began = loop.time()
-        call = self._work(req, record, rule, path['rest'])
-        name = req.header(b'idempotency-key') or req.header(b'request-id')
-        failure = self._over_rate(call, record, name)
+        started_at = loop.time()
+        call = self._build_call(req, record, rule, path['rest'])
+        request_name = req.header(b'idempotency-key') or req.header(b'request-id')
+        failure = self._check_resend_rate(call, record, request_name)
         reply = refusal(failure) if failure else await self.dispatcher.dispatch(call)
-        self._note_refusal(call, reply, name)
+        self._record_result(call, reply, request_name)
         label = CallLabel(record.service, rule.rank.name.lower(), reply.outcome.value, reply.kind)
         self.stats.count(label)
         if reply.outcome is Outcome.UNKNOWN:
             self.on_unknown_outcome(call.ctx, reply.kind)
-        record_added_latency(self.stats, call, reply, loop.time() - began)
-        return self._response(reply, call)
+        record_added_latency(self.stats, call, reply, loop.time() - started_at)
+        return self._build_response(reply, call)
 
     async def _mint_key(self, req: HttpRequest) -> HttpResponse:
         service = req.path.removeprefix(KEYS_PATH)
@@ -124,19 +108,21 @@
             {'key': (await self.dispatcher.idempotency_router.mint_key(service)).text}
         )
 
-    def _over_rate(self, call: PendingCall, record: ServiceRecord, name: str) -> Failure | None:
+    def _check_resend_rate(
+        self, call: PendingCall, record: ServiceRecord, request_name: str
+    ) -> Failure | None:
         ctx = call.ctx
-        if not name:
-            # Two requests without a name may be alike and yet come from two people.
+        if not request_name:
+            # Two equal requests without a key or a request id may come from different users.
             return None
         if ctx.key and not ctx.idempotent:
-            # The first send may be running: "not run" from here would be false. The owner of
-            # the key tells duplicates at once, at the cost of a look into its table.
+            # An earlier attempt may be running, so this node must not answer that the request
+            # did not run. The owner of the key detects duplicates by one table lookup.
             return None
         failure = self.resend_guard.check(
             asyncio.get_running_loop().time(),
             ctx.caller,
-            name,
+            request_name,
             rank=ctx.priority.rank,
             ratio=record.resend_ratio,
         )
@@ -148,18 +134,18 @@
         self.stats.shed[failure.kind.value] += 1
         return failure
 
-    def _note_refusal(self, call: PendingCall, reply: Reply, name: str) -> None:
+    def _record_result(self, call: PendingCall, reply: Reply, request_name: str) -> None:
         ctx = call.ctx
-        if not name:
+        if not request_name:
             return
         if reply.retry_after <= 0:
             if not reply.kind:
-                self.resend_guard.record_answer(ctx.caller, name)
+                self.resend_guard.record_answer(ctx.caller, request_name)
         else:
             now = asyncio.get_running_loop().time()
-            self.resend_guard.record_refusal(now, ctx.caller, name, reply.retry_after)
+            self.resend_guard.record_refusal(now, ctx.caller, request_name, reply.retry_after)
 
-    def _work(
+    def _build_call(
         self, req: HttpRequest, record: ServiceRecord, rule: RequestRule, rest: str
     ) -> PendingCall:
         now = asyncio.get_running_loop().time()
@@ -181,26 +167,27 @@
         allowance = RetryAllowance(record.retry_bound)
         return PendingCall(ctx, req.method, rest, headers, req.body, allowance, WaitTime())
 
-    def _response(self, reply: Reply, call: PendingCall) -> HttpResponse:
+    def _build_response(self, reply: Reply, call: PendingCall) -> HttpResponse:
         response = response_from_reply(reply)
         response.headers.append((b'request-id', call.ctx.request_id.encode('latin-1')))
         return response
 
 
-def _no_record(req: HttpRequest, service: str) -> Failure:
-    """Give the answer where no record is known.
+def _no_record_failure(req: HttpRequest, service: str) -> Failure:
+    """Return the failure for a service that has no record at this node.
 
-    A fresh node may not have heard of the record yet. With an idempotency key the request
-    may be a resend of one that ran, so "not run" cannot be said.
+    A node that has just started may not have received the record yet. A request with an
+    idempotency key may be a resend of one that ran, so its failure must not claim that it did
+    not run.
     """
     if req.header(b'idempotency-key'):
-        detail = f'no record of {service} is known here'
+        detail = f'this node has no record of service {service}'
         return Failure(ErrorKind.OWNER_UNREACHABLE, detail, NO_RECORD_RETRY_AFTER_SECONDS)
     return Failure(ErrorKind.UNKNOWN_SERVICE, service)
 
 
 class LocalTargetHandler:
-    """What the target beside a node may ask: announce itself, drain, call other services."""
+    """Handles requests of the local target: announcement, drain and calls to other services."""
 
     def __init__(
         self,
@@ -216,7 +203,7 @@
         self.target_changed = asyncio.Event()
 
     async def handle(self, req: HttpRequest) -> HttpResponse:
-        """Answer one request of the local target."""
+        """Handle one request of the local target."""
         match (req.method, req.path):
             case ('POST', '/-/announce'):
                 return self._announce(req)
@@ -226,32 +213,32 @@
                 return json_response({'draining': True})
             case (_, path) if path.startswith('/-/'):
                 return failure_response(Failure(ErrorKind.NOT_FOUND, path))
-        return await self._call(req)
+        return await self._forward(req)
 
     def _announce(self, req: HttpRequest) -> HttpResponse:
         try:
-            said = msgspec.json.decode(req.body, type=Announcement)
-            address = read_address(said['address'])
+            announcement = msgspec.json.decode(req.body, type=Announcement)
+            address = read_address(announcement['address'])
         except (msgspec.MsgspecError, ValueError) as exc:
             return failure_response(Failure(ErrorKind.MALFORMED_REQUEST, f'announcement: {exc}'))
-        self.target.announce(said['service'], address)
+        self.target.announce(announcement['service'], address)
         self.target_changed.set()
         return json_response({'instance': self.dispatcher.instance})
 
-    async def _call(self, req: HttpRequest) -> HttpResponse:
+    async def _forward(self, req: HttpRequest) -> HttpResponse:
         path = split_path(req.path)
         record = self.book.find(path['service'])
         if record is None:
             return failure_response(Failure(ErrorKind.UNKNOWN_SERVICE, path['service']))
         parent = self.running.find(req.header(b'dunlinsaddle-call'))
-        call = self._work(req, record, path['rest'], parent)
+        call = self._build_call(req, record, path['rest'], parent)
         if call.ctx.hop > MAX_HOPS:
             return failure_response(Failure(ErrorKind.TOO_DEEP))
         if parent is None:
             return response_from_reply(await self.dispatcher.dispatch(call))
-        return await self._call_for(parent, call)
+        return await self._forward_for_parent(parent, call)
 
-    async def _call_for(self, parent: RunningCall, call: PendingCall) -> HttpResponse:
+    async def _forward_for_parent(self, parent: RunningCall, call: PendingCall) -> HttpResponse:
         loop = asyncio.get_running_loop()
         task = asyncio.current_task()
         assert task is not None
@@ -268,10 +255,10 @@
             parent.children.discard(task)
             parent.end_downstream_wait(loop.time())
 
-    def _work(
+    def _build_call(
         self, req: HttpRequest, record: ServiceRecord, rest: str, parent: RunningCall | None
     ) -> PendingCall:
-        """Carry the root's context down; without it there is no retry allowance at all."""
+        """Build a call that inherits the context of its parent; without one it has no retries."""
         rule = classify(record, req.method, rest)
         now = asyncio.get_running_loop().time()
         headers = forwarded_headers(req.headers)
@@ -298,10 +285,11 @@
 
 
 def caller_id(req: HttpRequest) -> str:
-    """Tell callers apart that share an address, as those behind one gateway do.
+    """Return an id of the caller from its address and its credentials, if it sends any.
 
-    Credentials are not checked here, only told apart: who changes them with every call gains
-    a new bucket for resends, and is bounded by admission like everybody else.
+    The credentials distinguish callers behind one gateway; they are not verified here. A caller
+    that changes them with every request gets a new resend bucket each time, and is still
+    limited by admission control.
     """
     credentials = req.header(b'authorization')
     if not credentials:
@@ -310,7 +298,7 @@
 
 
 def request_fingerprint(req: HttpRequest, service: str) -> int:
-    """Give what stays the same when a caller sends the same request again."""
+    """Return a hash that is the same for a request and its resends."""
     digest = xxhash.xxh64(service.encode())
     digest.update(req.method.encode())
     digest.update(req.path.encode('latin-1'))
--- a/dunlinsaddle/calls/listener.py
+++ b/dunlinsaddle/calls/listener.py
@@ -1,10 +1,8 @@
 """HTTP/1.1 listener: passes whole requests to a handler and answers them in order."""
-
 import asyncio
 import os
 import socket
 from collections.abc import Callable
-
 from dunlinsaddle.calls.accepted_connection import AcceptedConnection, Handler
 from dunlinsaddle.calls.http import HttpLimits, HttpRequest
 from dunlinsaddle.settings import Address
@@ -72,12 +70,12 @@
         if self._server is not None:
             self._server.close()
         for conn in list(self.connections):
-            if not conn.busy:
+            if not conn.is_busy:
                 conn.transport.close()
 
     async def wait_idle(self) -> None:
         """Wait until no request is in progress and all responses have been written out."""
-        while any(conn.busy for conn in self.connections):
+        while any(conn.is_busy for conn in self.connections):
             self._idle.clear()
             await self._idle.wait()
 
--- a/tests/test_http_listener.py
+++ b/tests/test_http_listener.py
@@ -135,7 +135,7 @@
                 writer.write(b'GET / HTTP/1.1\r\nhost: a\r\n\r\n')
             await asyncio.sleep(30)
             unsent = conn.transport.get_write_buffer_size()
-            held = len(conn.held)
+            held = len(conn.unread)
             await asyncio.sleep(60)
             return unsent, held, len(self.handled), len(listener.connections)
 
