--- a/dunlinsaddle/calls/handover.py
+++ b/dunlinsaddle/calls/handover.py
@@ -1,15 +1,11 @@
-"""Gives what a leaving owner knows of its keys to who owns their ranges next.
+"""Handover of the remembered keys of a leaving owner to the next owners of their ranges.
 
-A caller that resends after a graceful restart gets the stored answer, in place of "unknown" for
-ever. The next owner only remembers: it never runs a key of an interval that is not its own.
+After a graceful restart, a caller that resends a key gets the stored reply; without the handover
+its outcome would stay unknown. The next owner only remembers these keys: it never runs a key of an
+interval that it does not own.
 """
-
 import asyncio
 import logging
-from typing import NamedTuple
-
-from result import Ok
-
 from dunlinsaddle.calls.link import PeerLinks
 from dunlinsaddle.calls.messages import FinishedKey, KeysPush, Reply
 from dunlinsaddle.key_ownership.range_manager import RangeManager
@@ -18,29 +14,32 @@
 from dunlinsaddle.policy.key_table import KeyRecord, KeyTable
 from dunlinsaddle.policy.keys import TimestampedKey, parse_key
 from dunlinsaddle.policy.ownership import Owner
+from result import Ok
+from typing import NamedTuple
 
-MAX_MESSAGE_BYTES = 1 << 18  #: of one message: a quarter of a second on a link of ten megabits
-KEY_OVERHEAD_BYTES = 256  #: more than a key takes without its answer
-MESSAGE_TIMEOUT_SECONDS = (
-    2.0  #: seconds for one message, by judgement: what a leaving node can spare
-)
+MAX_MESSAGE_BYTES = 1 << 18  #: 0.25 s on a link of 10 Mbit/s
+KEY_OVERHEAD_BYTES = 256  #: upper bound of the size of an entry without its reply
+MESSAGE_TIMEOUT_SECONDS = 2.0  #: short, because a leaving node has little time
 
 Tables = dict[str, KeyTable[Reply]]
 
 
 class HandoverResult(NamedTuple):
-    """How many keys the next owners took, and how many nobody did."""
+    """Numbers of keys that the next owners took and that no node took."""
 
     taken: int
     not_taken: int
 
 
 def has_owner_ended(keeper: RangeManager, view: MemberView, service: str, owner: Owner) -> bool:
-    """Say whether a run is held to have ended: enough to ask others, never to run its keys."""
+    """Return whether the owner's process is considered ended.
+
+    That suffices to ask other nodes about its keys, but never to run them.
+    """
     if owner == keeper.me:
         return False
-    held, member = keeper.range_map_of(service), view.find(owner.instance)
-    superseded = held is not None and held.is_superseded(owner)
+    range_map, member = keeper.range_map_of(service), view.find(owner.instance)
+    superseded = range_map is not None and range_map.is_superseded(owner)
     return (
         superseded
         or owner.instance == keeper.me.instance
@@ -56,9 +55,9 @@
     *,
     leaving: bool = False,
 ) -> Owner | None:
-    """Give who was told of a key when its owner left: the next owner that has not ended.
+    """Return the next owner of a key that has not ended: it received the key when its owner left.
 
-    One that is ``leaving`` itself looks for another one.
+    With ``leaving`` set, this node is leaving and skips itself.
     """
     for interval in keeper.later_intervals(service, key):
         owner = interval.owner
@@ -72,58 +71,61 @@
 async def hand_over_keys(
     tables: Tables, keeper: RangeManager, view: MemberView, links: PeerLinks
 ) -> HandoverResult:
-    """Give all tables away, piece by piece; only after this node has stopped accepting keys."""
-    plans: dict[tuple[str, str], list[KeyRecord[Reply]]] = {}
-    left = 0
+    """Send all tables to the next owners in batches, after this node has stopped accepting keys."""
+    keys_by_owner: dict[tuple[str, str], list[KeyRecord[Reply]]] = {}
+    not_taken = 0
     for service, table in tables.items():
-        for known in table.export_records():
-            heir = _heir_of_text(keeper, view, service, known.key)
-            if heir is None:
-                left += 1
+        for entry in table.export_records():
+            next_owner = _find_next_owner_of(keeper, view, service, entry.key)
+            if next_owner is None:
+                not_taken += 1
             else:
-                plans.setdefault((service, heir.instance), []).append(known)
-    gifts = [
-        _give(links, view.find(name), service, known) for (service, name), known in plans.items()
+                keys_by_owner.setdefault((service, next_owner.instance), []).append(entry)
+    transfers = [
+        _send_keys(links, view.find(name), service, entries)
+        for (service, name), entries in keys_by_owner.items()
     ]
-    taken = sum(await asyncio.gather(*gifts))
-    return HandoverResult(taken, left + sum(map(len, plans.values())) - taken)
+    taken = sum(await asyncio.gather(*transfers))
+    return HandoverResult(taken, not_taken + sum(map(len, keys_by_owner.values())) - taken)
 
 
 def take_over_keys(tables: Tables, push: KeysPush) -> None:
-    """Remember what a leaving owner has told."""
+    """Remember the keys that a leaving owner has sent."""
     table = tables.setdefault(push.service, KeyTable())
-    for given in push.keys:
-        match parse_key(given.key):
+    for received in push.keys:
+        match parse_key(received.key):
             case Ok(TimestampedKey(text, birth)):
-                size = given.reply.size if given.reply else 0
-                done = given.completed
+                size = received.reply.size if received.reply else 0
+                done = received.completed
                 table.import_record(
-                    KeyRecord(text, birth, given.fingerprint, done, given.reply, size)
+                    KeyRecord(text, birth, received.fingerprint, done, received.reply, size)
                 )
 
 
-def log_handover(logger: logging.Logger, handed: HandoverResult) -> None:
-    """Tell operators how many resends will be answered by the next owners."""
-    logger.info('keys handed over', extra={'taken': handed.taken, 'left': handed.not_taken})
+def log_handover(logger: logging.Logger, result: HandoverResult) -> None:
+    """Log for how many keys the next owners can answer resends."""
+    logger.info('keys handed over', extra={'taken': result.taken, 'left': result.not_taken})
 
 
-def _heir_of_text(keeper: RangeManager, view: MemberView, service: str, text: str) -> Owner | None:
+def _find_next_owner_of(
+    keeper: RangeManager, view: MemberView, service: str, text: str
+) -> Owner | None:
     match parse_key(text):
         case Ok(TimestampedKey() as key):
             return find_next_owner(keeper, view, service, key, leaving=True)
     return None
 
 
-async def _give(
-    links: PeerLinks, member: Member | None, service: str, known: list[KeyRecord[Reply]]
+async def _send_keys(
+    links: PeerLinks, member: Member | None, service: str, entries: list[KeyRecord[Reply]]
 ) -> int:
     taken = 0
-    for piece in cut_pieces(
-        known, lambda entry: KEY_OVERHEAD_BYTES + entry.size, MAX_MESSAGE_BYTES
+    for batch in cut_pieces(
+        entries, lambda entry: KEY_OVERHEAD_BYTES + entry.size, MAX_MESSAGE_BYTES
     ):
-        keys = [FinishedKey(k.key, k.fingerprint, k.done, k.answer) for k in piece]
+        keys = [FinishedKey(k.key, k.fingerprint, k.done, k.answer) for k in batch]
         push = KeysPush(0, service, keys)
         if member is None or not await links.push_keys(member.peers, push, MESSAGE_TIMEOUT_SECONDS):
             break
-        taken += len(piece)
+        taken += len(batch)
     return taken
--- a/dunlinsaddle/calls/idempotency.py
+++ b/dunlinsaddle/calls/idempotency.py
@@ -1,12 +1,6 @@
-"""Gives each call that is not idempotent to the one node that may run its key."""
-
+"""Routing of calls that are not idempotent to the only node that may run their key."""
 import asyncio
 from collections.abc import Callable
-from random import Random
-from typing import Any, NamedTuple
-
-from result import Err
-
 from dunlinsaddle.calls.call_state import PendingCall, read_call_frame
 from dunlinsaddle.calls.execute import Executor
 from dunlinsaddle.calls.handover import find_next_owner, has_owner_ended
@@ -19,20 +13,15 @@
 from dunlinsaddle.key_ownership.range_manager import RangeManager
 from dunlinsaddle.membership.view import Member, MemberView
 from dunlinsaddle.policy.key_table import KeyTable
-from dunlinsaddle.policy.keys import (
-    RANGE_COUNT,
-    Key,
-    OpaqueKey,
-    TimestampedKey,
-    generate_key,
-    parse_key,
-    range_number,
-)
+from dunlinsaddle.policy.keys import Key, OpaqueKey, RANGE_COUNT, TimestampedKey, generate_key, parse_key, range_number
 from dunlinsaddle.policy.ownership import Interval, Owner, RangeMap
 from dunlinsaddle.policy.route import Router
 from dunlinsaddle.stats import Stats
+from random import Random
+from result import Err
+from typing import Any, NamedTuple
 
-MAX_OWNER_HOPS = 2  #: an entry asks one node, and that one may know a newer owner
+MAX_OWNER_HOPS = 2  #: the entry node asks one node, and that one may know a newer owner
 UNREACHABLE_KINDS = frozenset(
     {ErrorKind.OWNER_UNAVAILABLE.value, ErrorKind.OWNER_UNREACHABLE.value}
 )
@@ -40,24 +29,24 @@
 
 
 class KeyRoute(NamedTuple):
-    """How far a call has come on its way to the owner of its key.
+    """State of a call while it is forwarded to the owner of its key.
 
-    ``asked`` counts the nodes that were taken for the owner before this one. ``fresh`` says
-    that this very node made the key: nobody else can have run it before. ``reread`` says that
-    the map was read again for this call.
+    ``nodes_asked`` counts the nodes that were asked as the supposed owner before this one.
+    ``is_minted_here`` is set if this node created the key, so that no other node can have run it
+    before. ``is_map_refreshed`` is set if the map of owners was read again for this call.
     """
 
-    asked: int = 0
-    fresh: bool = False
-    reread: bool = False
+    nodes_asked: int = 0
+    is_minted_here: bool = False
+    is_map_refreshed: bool = False
 
 
 class IdempotencyRouter:
-    """The entry's and the owner's side of at-most-once.
+    """Executes keyed calls at most once: forwards each to the owner of its key, or runs it here.
 
-    "Not run" is said of the key, not of one attempt, for a caller may have sent the key by
-    another entry before. So it comes only from the key's owner, from a node that minted the
-    key itself, or on a fresh reading that nobody owns the key.
+    "Not run" refers to the key, not to one attempt, because the caller may have sent the key
+    through another node before. Therefore only three nodes may answer it: the owner of the key,
+    the node that minted the key, and a node that has just read that no node owns the key.
     """
 
     def __init__(
@@ -69,7 +58,7 @@
         executor: Executor,
         stats: Stats,
         rng: Random,
-        window: Callable[[str], float],
+        key_window: Callable[[str], float],
     ) -> None:
         self.keeper = keeper
         self.view = view
@@ -77,26 +66,26 @@
         self.rng = rng
         self.member_calls = MemberCaller(router, links)
         self.owned_keys = OwnedKeys(
-            keeper.me, keeper.clock, view, self.member_calls, executor, stats, window
+            keeper.me, keeper.clock, view, self.member_calls, executor, stats, key_window
         )
-        self._refreshing: set[asyncio.Task[bool]] = set()
+        self._refresh_tasks: set[asyncio.Task[bool]] = set()
 
     @property
     def me(self) -> Owner:
-        """The present run of this instance."""
+        """The owner identity of this process: its instance and the epoch of its present run."""
         return self.keeper.me
 
     async def handle(self, call: PendingCall) -> Reply:
-        """Answer a call that came in here, from a caller or from the local target."""
+        """Handle a call that entered the system here, from a caller or from the local target."""
         if not call.ctx.key:
-            return await self._enter_without_key(call)
+            return await self._handle_without_key(call)
         parsed = parse_key(call.ctx.key)
         if isinstance(parsed, Err):
             return refusal(Failure(ErrorKind.KEY_MALFORMED, parsed.err_value))
         return await self._route(call, parsed.ok_value, KeyRoute())
 
     async def handle_peer_call(self, frame: Call) -> Reply:
-        """Answer another node that takes this one for the owner of the call's key."""
+        """Handle a call forwarded by a node that considers this one the owner of its key."""
         call = read_call_frame(frame, asyncio.get_running_loop().time())
         parsed = parse_key(frame.idempotency_key)
         if isinstance(parsed, Err):
@@ -106,13 +95,13 @@
         return reply
 
     async def mint_key(self, service: str) -> TimestampedKey:
-        """Make a key that a node which can be reached owns now, for a caller to send."""
+        """Create a key for a caller that is owned by a node which can be reached."""
         if self.keeper.range_map_of(service) is None:
             await self.keeper.refresh(service)
         return self._mint_key(service, set())
 
     def status(self, service: str) -> dict[str, Any]:
-        """Give what an operator wants to know of the keys here; times in seconds."""
+        """Return the state of the keys at this node for operators; times in seconds."""
         owned_ranges = self.keeper.owned_ranges(service)
         age = owned_ranges.platform_age
         return {
@@ -124,56 +113,56 @@
 
     @property
     def tables(self) -> dict[str, KeyTable[Reply]]:
-        """What is remembered of keys, by service."""
+        """The remembered keys, by service."""
         return self.owned_keys.tables
 
     async def wait_idle(self) -> None:
-        """Wait until no run that this node decided on is in progress, here or elsewhere."""
+        """Wait until no run started by this node as an owner is in progress, on any node."""
         await self.owned_keys.wait_idle()
 
-    async def _enter_without_key(self, call: PendingCall) -> Reply:
-        """Mint a key that a reachable node owns; another one if that node was never reached."""
+    async def _handle_without_key(self, call: PendingCall) -> Reply:
+        """Mint a key for the call, and a new one of another owner while none can be reached."""
         service = call.ctx.service
         if self.keeper.range_map_of(service) is None:
             await self.keeper.refresh(service)
-        tried: set[str] = set()
+        tried_instances: set[str] = set()
         while True:
-            key = self._mint_key(service, tried)
+            key = self._mint_key(service, tried_instances)
             headers = [*call.headers, (KEY_HEADER, key.text.encode())]
-            keyed = call._replace(ctx=call.ctx._replace(key=key.text), headers=headers)
-            reply = await self._route(keyed, key, KeyRoute(fresh=True))
+            call_with_key = call._replace(ctx=call.ctx._replace(key=key.text), headers=headers)
+            reply = await self._route(call_with_key, key, KeyRoute(is_minted_here=True))
             if reply.kind != ErrorKind.OWNER_UNAVAILABLE.value:
                 return reply
             interval = self.keeper.find(service, key)
             if interval is None or not call.allowance.spend():
                 return reply
-            tried.add(interval.owner.instance)
+            tried_instances.add(interval.owner.instance)
 
-    def _mint_key(self, service: str, tried: set[str]) -> TimestampedKey:
+    def _mint_key(self, service: str, tried_instances: set[str]) -> TimestampedKey:
         now = self.keeper.clock()
-        held = self.keeper.range_map_of(service) or RangeMap()
+        range_map = self.keeper.range_map_of(service) or RangeMap()
         ranges: dict[str, list[int]] = {}
         for number in range(RANGE_COUNT):
-            interval = held.find(number, now)
+            interval = range_map.find(number, now)
             if interval is not None:
                 ranges.setdefault(interval.owner.instance, []).append(number)
         members = [m for m in self.view.serving_members(service) if m.instance in ranges]
         candidates = to_candidates(members)
-        now_loop = asyncio.get_running_loop().time()
-        chosen = self.router.choose(now_loop, candidates, frozenset(tried))
+        loop_time = asyncio.get_running_loop().time()
+        chosen = self.router.choose(loop_time, candidates, frozenset(tried_instances))
         return generate_key(now, self.rng, service, ranges[chosen.instance] if chosen else ())
 
-    async def _route(self, call: PendingCall, key: Key, way: KeyRoute) -> Reply:
-        known = self.owned_keys.find_reply(call, key.text)
-        if known is not None:
-            return known
+    async def _route(self, call: PendingCall, key: Key, route: KeyRoute) -> Reply:
+        known_reply = self.owned_keys.find_reply(call, key.text)
+        if known_reply is not None:
+            return known_reply
         match key:
             case OpaqueKey():
-                return await self._route_opaque(call, key, way)
+                return await self._route_opaque_key(call, key, route)
             case TimestampedKey():
-                return await self._route_born(call, key, way)
+                return await self._route_born_key(call, key, route)
 
-    async def _route_opaque(self, call: PendingCall, key: OpaqueKey, way: KeyRoute) -> Reply:
+    async def _route_opaque_key(self, call: PendingCall, key: OpaqueKey, route: KeyRoute) -> Reply:
         claim = await claim_key(
             self.keeper.store, call.ctx.service, key, self.me, self.keeper.clock
         )
@@ -183,118 +172,134 @@
             )
         if claim.owner == self.me:
             return await self.owned_keys.run_once(call, key, claim.birth)
-        return await self._ask(call, claim.owner, way)
+        return await self._forward_to_owner(call, claim.owner, route)
 
-    async def _route_born(self, call: PendingCall, key: TimestampedKey, way: KeyRoute) -> Reply:
+    async def _route_born_key(self, call: PendingCall, key: TimestampedKey, route: KeyRoute) -> Reply:
         service = call.ctx.service
         interval = self.keeper.find(service, key)
-        if not way.reread and self._doubtful(service, interval, way):
-            way = way._replace(reread=await self.keeper.refresh(service))
+        if not route.is_map_refreshed and self._may_be_outdated(service, interval, route):
+            route = route._replace(is_map_refreshed=await self.keeper.refresh(service))
             interval = self.keeper.find(service, key)
         elif self.keeper.is_stale(service):
-            self._refresh_later(service)
+            self._refresh_in_background(service)
         if interval is None:
-            return await self._route_unowned(call, key, way)
+            return await self._route_unowned_key(call, key, route)
         if interval.owner == self.me:
-            return await self._own_born(call, key)
-        reply = await self._ask(call, self._witness(service, key, interval.owner, way), way)
-        reply = self._new_key_turned_down(reply) if way.fresh else reply
+            return await self._run_owned_key(call, key)
+        reply = await self._forward_to_owner(
+            call, self._choose_answering_owner(service, key, interval.owner, route), route
+        )
+        reply = self._mark_not_run(reply) if route.is_minted_here else reply
         if (
             reply.kind not in UNREACHABLE_KINDS
-            or way.reread
+            or route.is_map_refreshed
             or not await self.keeper.refresh(service)
         ):
             return reply
-        newer = self.keeper.find(service, key)
-        if newer is None or newer.owner == interval.owner:
+        newer_interval = self.keeper.find(service, key)
+        if newer_interval is None or newer_interval.owner == interval.owner:
             return reply
-        return await self._route_born(call, key, way._replace(reread=True))
+        return await self._route_born_key(call, key, route._replace(is_map_refreshed=True))
 
-    def _doubtful(self, service: str, interval: Interval | None, way: KeyRoute) -> bool:
-        """Say whether a newer map may name another owner than this interval does."""
+    def _may_be_outdated(self, service: str, interval: Interval | None, route: KeyRoute) -> bool:
+        """Return whether a newer map may name a different owner than this interval."""
         if interval is None:
             return True
         if interval.owner == self.me:
             return False
-        # Whoever asked takes this node for the owner, by a map that may be newer than ours.
-        return way.asked > 0 or self._ended(service, interval.owner)
+        # A node that forwarded the call here considers this node the owner, perhaps by a newer
+        # map.
+        return route.nodes_asked > 0 or self._has_ended(service, interval.owner)
 
-    def _ended(self, service: str, owner: Owner) -> bool:
+    def _has_ended(self, service: str, owner: Owner) -> bool:
         return has_owner_ended(self.keeper, self.view, service, owner)
 
-    def _witness(self, service: str, key: TimestampedKey, owner: Owner, way: KeyRoute) -> Owner:
-        """Give who can answer for a key: its owner, or who that one told of it when it left."""
-        if way.fresh or not self._ended(service, owner):
+    def _choose_answering_owner(
+        self, service: str, key: TimestampedKey, owner: Owner, route: KeyRoute
+    ) -> Owner:
+        """Return who can answer for a key: its owner, or the next owner if it has ended."""
+        if route.is_minted_here or not self._has_ended(service, owner):
             return owner
-        heir = find_next_owner(self.keeper, self.view, service, key)
-        return owner if heir is None or heir == self.me else heir
+        next_owner = find_next_owner(self.keeper, self.view, service, key)
+        return owner if next_owner is None or next_owner == self.me else next_owner
 
-    async def _own_born(self, call: PendingCall, key: TimestampedKey) -> Reply:
+    async def _run_owned_key(self, call: PendingCall, key: TimestampedKey) -> Reply:
         if self.keeper.try_accept(call.ctx.service, key):
             return await self.owned_keys.run_once(call, key, key.birth)
-        # The range is on its way to another node, and the write that says so is not settled.
+        # The range is being handed over to another node, and that write is not confirmed yet.
         return self.owned_keys.refuse(ErrorKind.OWNER_UNREACHABLE, 'the key is being handed over')
 
-    async def _route_unowned(self, call: PendingCall, key: TimestampedKey, way: KeyRoute) -> Reply:
-        held = self.keeper.range_map_of(call.ctx.service)
-        if held is not None and held.is_pruned(range_number(call.ctx.service, key), key.birth):
+    async def _route_unowned_key(self, call: PendingCall, key: TimestampedKey, route: KeyRoute) -> Reply:
+        range_map = self.keeper.range_map_of(call.ctx.service)
+        if range_map is not None and range_map.is_pruned(range_number(call.ctx.service, key), key.birth):
+            return self.owned_keys.refuse(
+                ErrorKind.KEY_EXPIRED, 'the key is older than all remembered keys'
+            )
+        if route.is_map_refreshed and key.birth > self.keeper.clock() + self.keeper.horizon:
             return self.owned_keys.refuse(
-                ErrorKind.KEY_EXPIRED, 'older than all that is remembered'
+                ErrorKind.KEY_IN_FUTURE, 'no node owns keys created at that time yet'
             )
-        if way.reread and key.birth > self.keeper.clock() + self.keeper.horizon:
+        # Without a map, as after a start during an outage of the platform, other nodes may know
+        # the owner.
+        if route.is_map_refreshed or (route.is_minted_here and range_map is not None):
             return self.owned_keys.refuse(
-                ErrorKind.KEY_IN_FUTURE, 'no node owns keys of that time yet'
+                ErrorKind.OWNER_UNAVAILABLE, 'no node owns the key at present'
             )
-        # Without any map, as after a start in an outage of the platform, others may know more.
-        if way.reread or (way.fresh and held is not None):
-            return self.owned_keys.refuse(ErrorKind.OWNER_UNAVAILABLE, 'no node owns this key now')
         others = [
             m for m in self.view.serving_members(call.ctx.service) if m.instance != self.me.instance
         ]
-        if not others or way.asked >= MAX_OWNER_HOPS:
-            kind = ErrorKind.OWNER_UNAVAILABLE if way.fresh else ErrorKind.OWNER_UNREACHABLE
-            return self.owned_keys.refuse(kind, 'no node here knows the owner')
-        reply = await self._send(call, self.rng.choice(others), way)
-        return self._new_key_turned_down(reply) if way.fresh else reply
+        if not others or route.nodes_asked >= MAX_OWNER_HOPS:
+            kind = (
+                ErrorKind.OWNER_UNAVAILABLE if route.is_minted_here else ErrorKind.OWNER_UNREACHABLE
+            )
+            return self.owned_keys.refuse(kind, 'no reachable node knows the owner of the key')
+        reply = await self._forward(call, self.rng.choice(others), route)
+        return self._mark_not_run(reply) if route.is_minted_here else reply
 
-    async def _ask(self, call: PendingCall, owner: Owner, way: KeyRoute) -> Reply:
+    async def _forward_to_owner(self, call: PendingCall, owner: Owner, route: KeyRoute) -> Reply:
         member = self.view.find(owner.instance)
-        ended = self._ended(call.ctx.service, owner)
-        if way.fresh and (member is None or ended):
+        ended = self._has_ended(call.ctx.service, owner)
+        if route.is_minted_here and (member is None or ended):
             return self.owned_keys.refuse(
-                ErrorKind.OWNER_UNAVAILABLE, f'{owner.instance} is not there'
+                ErrorKind.OWNER_UNAVAILABLE, f'the owner {owner.instance} is not available'
             )
         if ended:
-            detail = f'{owner.instance}, which alone could have run it, has ended'
+            detail = f'{owner.instance}, the only instance that could have run the key, has ended'
             return self.owned_keys.refuse(ErrorKind.OUTCOME_UNKNOWN, detail)
         if member is None:
             return self.owned_keys.refuse(
-                ErrorKind.OWNER_UNREACHABLE, f'{owner.instance} is not known here'
+                ErrorKind.OWNER_UNREACHABLE, f'the owner {owner.instance} is not known to this node'
             )
-        if way.asked >= MAX_OWNER_HOPS:
+        if route.nodes_asked >= MAX_OWNER_HOPS:
             return self.owned_keys.refuse(
-                ErrorKind.OWNER_UNREACHABLE, f'{owner.instance} was not asked'
+                ErrorKind.OWNER_UNREACHABLE,
+                f'the owner {owner.instance} was not asked: too many nodes asked before',
             )
-        return await self._send(call, member, way)
+        return await self._forward(call, member, route)
 
-    async def _send(self, call: PendingCall, member: Member, way: KeyRoute) -> Reply:
-        match await self.member_calls.call(call, member, owner_lookups=way.asked + 1):
+    async def _forward(self, call: PendingCall, member: Member, route: KeyRoute) -> Reply:
+        match await self.member_calls.call(call, member, owner_lookups=route.nodes_asked + 1):
             case Reply() as reply:
                 return reply
-            case NotSent(detail) if way.fresh:
+            case NotSent(detail) if route.is_minted_here:
                 return self.owned_keys.refuse(ErrorKind.OWNER_UNAVAILABLE, detail)
             case NotSent(detail):
                 return self.owned_keys.refuse(ErrorKind.OWNER_UNREACHABLE, detail)
             case Lost(detail, kind):
                 return refusal(Failure(kind, detail))
 
-    def _new_key_turned_down(self, reply: Reply) -> Reply:
-        """Say "not run" of a key that was made for this call, if each node asked turned it down."""
+    def _mark_not_run(self, reply: Reply) -> Reply:
+        """Answer "not run" for a key minted here that no node accepted.
+
+        The key was created for this call, so no earlier attempt can have run it.
+        """
         if reply.kind != ErrorKind.OWNER_UNREACHABLE.value:
             return reply
-        return self.owned_keys.refuse(ErrorKind.OWNER_UNAVAILABLE, 'its owner cannot be reached')
+        return self.owned_keys.refuse(
+            ErrorKind.OWNER_UNAVAILABLE, 'the owner of the key cannot be reached'
+        )
 
-    def _refresh_later(self, service: str) -> None:
+    def _refresh_in_background(self, service: str) -> None:
         task = asyncio.get_running_loop().create_task(self.keeper.refresh(service))
-        self._refreshing.add(task)
-        task.add_done_callback(self._refreshing.discard)
+        self._refresh_tasks.add(task)
+        task.add_done_callback(self._refresh_tasks.discard)
