--- a/dunlinsaddle/calls/idempotency.py
+++ b/dunlinsaddle/calls/idempotency.py
@@ -45,8 +45,8 @@
     """Executes keyed calls at most once: forwards each to the owner of its key, or runs it here.
 
     "Not run" refers to the key, not to one attempt, because the caller may have sent the key
-    through another node before. Therefore only three nodes may answer it: the owner of the key,
-    the node that minted the key, and a node that has just read that no node owns the key.
+    through another node before. Therefore only these may answer it: the owner of the key, the
+    node that minted the key, and a node that has just read that no node owns the key.
     """
 
     def __init__(
@@ -121,7 +121,7 @@
         await self.owned_keys.wait_idle()
 
     async def _handle_without_key(self, call: PendingCall) -> Reply:
-        """Mint a key for the call, and a new one of another owner while none can be reached."""
+        """Mint a key owned by a reachable node, and another one if that owner is unreachable."""
         service = call.ctx.service
         if self.keeper.range_map_of(service) is None:
             await self.keeper.refresh(service)
@@ -273,7 +273,7 @@
         if route.nodes_asked >= MAX_OWNER_HOPS:
             return self.owned_keys.refuse(
                 ErrorKind.OWNER_UNREACHABLE,
-                f'the owner {owner.instance} was not asked: too many nodes asked before',
+                f'the owner {owner.instance} was not asked: the call was forwarded too often',
             )
         return await self._forward(call, member, route)
 
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -1,6 +1,5 @@
-import asyncio
-from random import Random
 
+import asyncio
 from dunlinsaddle.calls.call_state import PendingCall, RunningCalls
 from dunlinsaddle.calls.client import HttpClient
 from dunlinsaddle.calls.connection import Answered
@@ -17,6 +16,7 @@
 from dunlinsaddle.policy.route import Router
 from dunlinsaddle.settings import Address
 from dunlinsaddle.stats import Stats
+from random import Random
 from tests.builders import build_member, build_work
 from tests.clock import PausedClockTest
 
@@ -24,7 +24,7 @@
 
 
 class FakeLinks:
-    """Answers calls to peers from a list, and keeps what was asked."""
+    """Answers calls to peers from a list, and records the calls."""
 
     def __init__(self, *replies: Reply | NotSent | Lost) -> None:
         self.replies = list(replies)
@@ -35,15 +35,15 @@
         return self.replies.pop(0)
 
 
-class FakeGate:
-    """An owner that answers from its table."""
+class FakeIdempotencyRouter:
+    """Answers every call as if the owner of its key had the reply stored."""
 
     async def handle(self, call: PendingCall) -> Reply:
         return DONE
 
 
-class DeadTarget(HttpClient):
-    """A target that dies of every call and takes no connection afterwards."""
+class CrashingTarget(HttpClient):
+    """A target that crashes on every call and accepts no connection afterwards."""
 
     async def send(self, address, req, timeout, *, allow_resend=None, matches_request=None):
         return Lost('the connection ended', ErrorKind.TARGET_LOST)
@@ -52,8 +52,8 @@
         return False
 
 
-class FailsBelow(HttpClient):
-    """A target whose call to another service is refused, and which answers 502 for that."""
+class DownstreamRefusedTarget(HttpClient):
+    """A target that answers 502 because its downstream call was refused."""
 
     running: RunningCalls
 
@@ -63,7 +63,7 @@
         return Answered(HttpResponse(502, [], b''))
 
 
-class LiveTarget(HttpClient):
+class FakeTarget(HttpClient):
     """A target that answers every call."""
 
     async def send(self, address, req, timeout, *, allow_resend=None, matches_request=None):
@@ -77,7 +77,7 @@
     return Executor(target, Admission(), client, RunningCalls(), Stats(), quarantine, **changes)
 
 
-class SlowTarget(LiveTarget):
+class SlowTarget(FakeTarget):
     async def send(self, *args, **kwargs):
         await asyncio.sleep(1)
         return await super().send(*args, **kwargs)
@@ -95,15 +95,15 @@
             view = MemberView()
             for name in ('bangor-1', 'menai-1', 'caernarfon-1'):
                 view.merge(build_member(name))
-            known = Quarantine() if quarantine is None else quarantine
+            quarantine_state = Quarantine() if quarantine is None else quarantine
             dispatcher = Dispatcher(
                 'entry',
                 view,
                 router or Router('bangor-hall', Random(1)),
                 links,
-                build_executor(LiveTarget(), known),
+                build_executor(FakeTarget(), quarantine_state),
                 Stats(),
-                known,
+                quarantine_state,
             )
             return await dispatcher.dispatch(build_work(**changes))
 
@@ -113,26 +113,26 @@
         links = FakeLinks(Lost('cut'), DONE)
         self.assertEqual(200, self.dispatch(links).status)
 
-    def test_lost_non_idempotent_call_is_unknown_and_never_sent_again(self):
+    def test_lost_non_idempotent_call_is_unknown_and_not_resent(self):
         links = FakeLinks(Lost('cut'), DONE)
         reply = self.dispatch(links, idempotent=False)
         self.assertEqual(Outcome.UNKNOWN, reply.outcome)
         self.assertEqual(1, len(links.calls))
 
-    def test_refusal_after_a_lost_try_does_not_say_not_run(self):
-        # The first target is cut off while it runs the call; the second is overloaded and
-        # refuses. "Not run" is true of the second try only: the caller must hear "unknown".
+    def test_refusal_after_a_lost_attempt_is_outcome_unknown(self):
+        # The first target is cut off while it runs the call, and the second one is overloaded
+        # and refuses. The call did not run at the second only, so its outcome is unknown.
         links = FakeLinks(Lost('cut'), refusal(Failure(ErrorKind.OVERLOADED, retry_after=1)))
         reply = self.dispatch(links)
         self.assertEqual(Outcome.UNKNOWN, reply.outcome)
 
-    def test_early_refusal_never_says_not_run_of_a_key(self):
-        # The first send of a release ran and its answer was lost; meanwhile the chain below
-        # became overloaded. The resend must reach the key's owner: refused here, the caller
-        # would hear "not run" of an order that was released.
+    def test_keyed_call_is_not_refused_early(self):
+        # The first attempt ran and its reply was lost; then the downstream services became
+        # overloaded. The resend must reach the owner of the key: an early refusal would claim
+        # that a call did not run which has run.
         async def scenario() -> tuple[Reply, Reply]:
-            known = Quarantine()
-            executor = build_executor(LiveTarget(), known)
+            quarantine_state = Quarantine()
+            executor = build_executor(FakeTarget(), quarantine_state)
             dispatcher = Dispatcher(
                 'entry',
                 MemberView(),
@@ -140,41 +140,43 @@
                 FakeLinks(),
                 executor,
                 Stats(),
-                known,
+                quarantine_state,
             )
-            dispatcher.idempotency_router = FakeGate()
+            dispatcher.idempotency_router = FakeIdempotencyRouter()
             now = asyncio.get_running_loop().time()
             executor.levels.record_response(now, 'cut-orders', 'read', ReportedLevel(-1.0))
-            keyed = await dispatcher.dispatch(build_work(key='a-key', idempotent=False))
-            plain = await dispatcher.dispatch(build_work())
-            return keyed, plain
-
-        keyed, plain = self.run_paused(scenario())
-        self.assertEqual((ErrorKind.REFUSED_EARLY.value, Outcome.DONE), (plain.kind, keyed.outcome))
-
-    def test_caller_that_goes_away_leaves_no_call_outstanding(self):
-        # Callers give up while a target is slow. Were their calls still counted as on their
-        # way to it, it would look ever more loaded and be given less and less work.
+            keyed_reply = await dispatcher.dispatch(build_work(key='a-key', idempotent=False))
+            plain_reply = await dispatcher.dispatch(build_work())
+            return keyed_reply, plain_reply
+
+        keyed_reply, plain_reply = self.run_paused(scenario())
+        self.assertEqual(
+            (ErrorKind.REFUSED_EARLY.value, Outcome.DONE), (plain_reply.kind, keyed_reply.outcome)
+        )
+
+    def test_cancelled_call_is_not_counted_as_outstanding(self):
+        # Callers disconnect while a target is slow. If their calls stayed counted as
+        # outstanding, the target would look ever more loaded and receive ever fewer calls.
         class SlowLinks:
             async def call(self, address, frame):
                 await asyncio.sleep(60)
 
         async def scenario() -> tuple[int, int]:
-            view, known = MemberView(), Quarantine()
+            view, quarantine_state = MemberView(), Quarantine()
             view.merge(build_member('bangor-1'))
             router = Router('bangor-hall', Random(1))
-            executor = build_executor(LiveTarget(), known)
-            parts = (view, router, SlowLinks(), executor, Stats(), known)
+            executor = build_executor(FakeTarget(), quarantine_state)
+            parts = (view, router, SlowLinks(), executor, Stats(), quarantine_state)
             task = asyncio.create_task(Dispatcher('entry', *parts).dispatch(build_work()))
             await asyncio.sleep(0.1)
-            during = router.report(0.1, 'bangor-1', '')['outstanding']
+            outstanding_during = router.report(0.1, 'bangor-1', '')['outstanding']
             task.cancel()
             await asyncio.gather(task, return_exceptions=True)
-            return during, router.report(0.1, 'bangor-1', '')['outstanding']
+            return outstanding_during, router.report(0.1, 'bangor-1', '')['outstanding']
 
         self.assertEqual((1, 0), self.run_paused(scenario()))
 
-    def test_overload_further_down_is_no_fault_of_the_target_above(self):
+    def test_downstream_overload_is_not_counted_as_error_of_the_target(self):
         router = Router('bangor-hall', Random(1))
         for retry_after in (2.0, 0.0):
             links = FakeLinks(Reply(0, 502, [], b'', Outcome.DONE, retry_after=retry_after))
@@ -183,14 +185,14 @@
             shares = [router.report(0.0, name, 'bangor-hall')['error_share'] for name in names]
             self.assertEqual(retry_after == 0, any(shares))
 
-    def test_tries_end_with_the_allowance(self):
+    def test_number_of_attempts_is_limited_by_the_allowance(self):
         links = FakeLinks(*[NotSent('refused')] * 10)
         self.dispatch(links, tokens=1)
         self.assertLessEqual(len(links.calls), 2)
 
-    def test_request_that_kills_its_targets_is_sent_to_two_at_most(self):
-        # Each target that runs the call dies. After the second death the entry gives up,
-        # though tokens and targets are left: a third target must not die.
+    def test_request_that_crashes_targets_is_sent_to_at_most_two(self):
+        # Each target that runs the call crashes. After the second crash the call must not be
+        # resent, although retry tokens and targets are left.
         first = refusal(Failure(ErrorKind.TARGET_LOST))
         first.deaths = 1
         second = refusal(Failure(ErrorKind.TARGET_LOST))
@@ -205,29 +207,29 @@
 
 
 class ExecuteTest(PausedClockTest):
-    def execute(self, executor_of, **changes) -> Reply:
+    def execute(self, build, **changes) -> Reply:
         async def scenario() -> Reply:
-            return await executor_of().execute(build_work(**changes))
+            return await build().execute(build_work(**changes))
 
         return self.run_paused(scenario())
 
-    def test_death_of_the_target_is_told_with_the_answer(self):
-        heard: list[tuple[int, int]] = []
+    def test_crash_of_the_target_is_reported_with_the_reply(self):
+        reported: list[tuple[int, int]] = []
 
         def build() -> Executor:
-            on_target_crash = lambda fingerprint, deaths: heard.append((fingerprint, deaths))  # noqa: E731
-            return build_executor(DeadTarget(), Quarantine(), on_target_crash=on_target_crash)
+            on_target_crash = lambda fingerprint, deaths: reported.append((fingerprint, deaths))  # noqa: E731
+            return build_executor(CrashingTarget(), Quarantine(), on_target_crash=on_target_crash)
 
         reply = self.execute(build, fingerprint=5)
         self.assertEqual((1, Outcome.UNKNOWN), (reply.deaths, reply.outcome))
-        self.assertEqual([(5, 1)], heard)
+        self.assertEqual([(5, 1)], reported)
 
-    def test_caller_hears_when_to_come_back_from_an_overload_further_down(self):
-        # A service below is full and refuses the target's call. The target answers 502 of its
-        # own, without Retry-After: its caller would ask again at once. What must run once gets
-        # no such word, for its answer stands.
+    def test_reply_has_retry_after_when_a_downstream_call_was_refused(self):
+        # A downstream service is overloaded and refuses the target's call, and the target
+        # answers 502 without Retry-After: its caller would retry at once. A call that must run
+        # only once gets no Retry-After, because its reply is final.
         for idempotent, seconds in ((True, 2.0), (False, 0.0)):
-            client = FailsBelow()
+            client = DownstreamRefusedTarget()
 
             def build(client=client) -> Executor:
                 executor = build_executor(client, Quarantine())
@@ -237,14 +239,14 @@
             reply = self.execute(build, idempotent=idempotent)
             self.assertEqual((502, seconds), (reply.status, reply.retry_after))
 
-    def test_barred_request_is_refused_for_good(self):
-        reply = self.execute(lambda: build_executor(LiveTarget(), Quarantine()), deaths=2)
+    def test_barred_request_is_refused_without_retry_after(self):
+        reply = self.execute(lambda: build_executor(FakeTarget(), Quarantine()), deaths=2)
         self.assertEqual(ErrorKind.QUARANTINED.value, reply.kind)
         self.assertEqual(0, reply.retry_after)
 
-    def test_observed_service_neither_bars_nor_delays_a_suspect(self):
-        # Two targets died of one request, one of the other. Beside the older system neither is
-        # refused or made to wait for the other; what enforcing would refuse is counted.
+    def test_observe_mode_neither_bars_nor_delays_a_suspect(self):
+        # One request crashed two targets, two others crashed one each. In observe mode none is
+        # refused or waits for another; the refusal that enforcing would cause is counted.
         async def scenario() -> tuple[list[int], float, int]:
             executor = build_executor(
                 SlowTarget(), Quarantine(), is_observe_only=lambda service: True
@@ -259,12 +261,12 @@
         self.assertAlmostEqual(1.01, elapsed, places=6)
         self.assertEqual(1, refused)
 
-    def test_observed_service_counts_refusals_and_runs_the_call(self):
-        # The older system still protects the service. This one would refuse the call, and
-        # must only count that: two systems that both refuse would starve the targets.
+    def test_observe_mode_counts_refusals_and_runs_the_call(self):
+        # An older system still protects the service, so a refusal must only be counted: if both
+        # systems refused calls, the targets would get too few.
         async def scenario() -> tuple[Reply, int]:
             executor = build_executor(
-                LiveTarget(), Quarantine(), is_observe_only=lambda service: True
+                FakeTarget(), Quarantine(), is_observe_only=lambda service: True
             )
             executor.admission.limit = 0
             replies = await asyncio.gather(*(executor.execute(build_work()) for _ in range(5)))
--- a/tests/test_killer.py
+++ b/tests/test_killer.py
@@ -8,48 +8,48 @@
 RESENDS = 12
 
 
-class MortalTarget(Target):
-    """Dies of a request whose path ends in ``poison``: all its connections end, none opens."""
+class CrashingTarget(Target):
+    """Crashes on a request whose path ends in ``poison``: connections close and none opens."""
 
-    dead = False
+    has_crashed = False
 
     async def handle(self, req: HttpRequest) -> HttpResponse:
         await asyncio.sleep(0.05)
         if req.path.endswith('poison'):
-            self.dead = True
+            self.has_crashed = True
             self.face.close()
         return HttpResponse(200, [], b'ok')
 
 
-class KillerTest(PausedClockTest):
-    def test_at_most_two_targets_die_of_one_request(self):
-        # A request crashes each target that runs it. Its caller sends it again at once, each
-        # time by another entry, while innocent calls are in progress everywhere. Without a
-        # word between the nodes each entry would find a target that has not heard of it.
+class CrashingRequestTest(PausedClockTest):
+    def test_one_request_crashes_at_most_two_targets(self):
+        # A request crashes each target that runs it, and its caller resends it at once through
+        # another node, while other calls are in progress. Unless nodes report crashes to each
+        # other, each resend reaches a target that is still running.
         async def scenario() -> tuple[int, int, int]:
             self.site = Site()
             await self.site.write(retry_bound=5)
-            for number in range(TARGETS):
-                await self.site.place(f'bangor-{number}', 'cut-orders', MortalTarget())
+            for index in range(TARGETS):
+                await self.site.place(f'bangor-{index}', 'cut-orders', CrashingTarget())
             await asyncio.sleep(5)
-            innocent = [asyncio.create_task(self.innocent(n)) for n in range(100)]
-            last = 0
-            for number in range(RESENDS):
-                last = await self.call(number, '/cut-orders/poison')
-            statuses = await asyncio.gather(*innocent)
-            served = sum(status == 200 for status in statuses)
-            dead = sum(target.dead for target in self.site.targets.values())
+            other_calls = [asyncio.create_task(self.call_other_path(n)) for n in range(100)]
+            last_status = 0
+            for index in range(RESENDS):
+                last_status = await self.call(index, '/cut-orders/poison')
+            statuses = await asyncio.gather(*other_calls)
+            served_count = sum(status == 200 for status in statuses)
+            crashed_count = sum(target.has_crashed for target in self.site.targets.values())
             await self.site.stop()
-            return dead, last, served
+            return crashed_count, last_status, served_count
 
-        dead, last, served = self.run_paused(scenario())
-        self.assertLessEqual(dead, 2)
-        self.assertEqual(422, last)
-        self.assertGreaterEqual(served, 95)
+        crashed_count, last_status, served_count = self.run_paused(scenario())
+        self.assertLessEqual(crashed_count, 2)
+        self.assertEqual(422, last_status)
+        self.assertGreaterEqual(served_count, 95)
 
-    async def innocent(self, number: int) -> int:
-        await asyncio.sleep(number * 0.01)
-        return await self.call(number, f'/cut-orders/orders/{number}')
+    async def call_other_path(self, index: int) -> int:
+        await asyncio.sleep(index * 0.01)
+        return await self.call(index, f'/cut-orders/orders/{index}')
 
-    async def call(self, number: int, path: str) -> int:
-        return (await self.site.call(f'bangor-{number % TARGETS}', path)).status
+    async def call(self, index: int, path: str) -> int:
+        return (await self.site.call(f'bangor-{index % TARGETS}', path)).status
