--- a/dunlinsaddle/calls/call_state.py
+++ b/dunlinsaddle/calls/call_state.py
@@ -44,7 +44,7 @@
     headers: Headers
     body: bytes
     allowance: RetryAllowance
-    waits: WaitTime | None = None  #: None if not recorded
+    wait_time: WaitTime | None = None  #: None if not recorded
     attempts: list[Attempt] | None = None  #: attempts so far; None if not recorded
 
 
@@ -110,8 +110,8 @@
     Calls that are not idempotent are left out: they also wait for the owner of their key, and
     that time is not known here.
     """
-    if call.waits is not None and call.ctx.idempotent and reply.outcome is Outcome.DONE:
-        stats.added(max(elapsed - call.waits.seconds, 0.0))
+    if call.wait_time is not None and call.ctx.idempotent and reply.outcome is Outcome.DONE:
+        stats.added(max(elapsed - call.wait_time.seconds, 0.0))
 
 
 class RunningCall:
@@ -125,7 +125,7 @@
     ) -> None:
         self.call = call
         self.token = f'{_TOKEN_PREFIX}{next(_token_numbers):x}'
-        self.started = now
+        self.started_at = now
         self.children: set[asyncio.Task[object]] = set()
         self.downstream_failure = ''  #: root cause of a failed downstream call
         #: Sum over its downstream calls, in seconds of a whole target of their service.
@@ -164,7 +164,7 @@
         waited_seconds = self._waited_seconds + (
             now - self._wait_started_at if self._open_waits else 0.0
         )
-        return max(now - self.started - waited_seconds, 0.0)
+        return max(now - self.started_at - waited_seconds, 0.0)
 
 
 class RunningCalls:
--- a/dunlinsaddle/calls/dispatch.py
+++ b/dunlinsaddle/calls/dispatch.py
@@ -160,7 +160,7 @@
                 call = self.resend_policy.prepare_resend(call, last_reply)
             tried_instances.add(member.instance)
             last_reply = await self._send_to(call, member)
-            call = self._record_deaths(call, last_reply)
+            call = self._record_crashes(call, last_reply)
             may_have_run = may_have_run or last_reply.outcome is not Outcome.NOT_RUN
             if not last_reply.kind:
                 target_reply = last_reply
@@ -198,7 +198,7 @@
         """
         reply = await router.handle(call)
         self._learn_level(self.now(), call, reply)
-        self._record_deaths(call, reply)
+        self._record_crashes(call, reply)
         return reply
 
     def _check_downstream_levels(self, ctx: CallContext) -> Failure | None:
@@ -231,22 +231,22 @@
         started_at = loop.time()
         self.router.record_sent(member.instance)
         try:
-            exchange = await self._hand_over(call, member, tokens)
+            exchange = await self._forward(call, member, tokens)
         except asyncio.CancelledError:
             self.router.record_answer(self.now(), member.instance, None)
-            self._record_duration(call.ctx, member, started_at, whole=False)
+            self._record_duration(call.ctx, member, started_at, is_success=False)
             raise
         reply = self._process_exchange(call, member, tokens, exchange)
-        elapsed = self._record_duration(call.ctx, member, started_at, whole=_is_success(reply))
+        elapsed = self._record_duration(call.ctx, member, started_at, is_success=_is_success(reply))
         if call.attempts is not None:
             call.attempts.append(Attempt(member.instance, reply.kind, reply.status, elapsed))
         return reply
 
     def _record_duration(
-        self, ctx: CallContext, member: Member, started_at: float, *, whole: bool
+        self, ctx: CallContext, member: Member, started_at: float, *, is_success: bool
     ) -> float:
         now = self.now()
-        self.router.record_duration(now, member.instance, ctx.rule, now - started_at, completed=whole)
+        self.router.record_duration(now, member.instance, ctx.rule, now - started_at, completed=is_success)
         return round(now - started_at, 4)
 
     def _process_exchange(
@@ -268,7 +268,7 @@
                 self.router.record_failure(now, member.instance)
                 return refusal(Failure(kind, detail))
 
-    async def _hand_over(
+    async def _forward(
         self, call: PendingCall, member: Member, tokens: int
     ) -> Reply | NotSent | Lost:
         if member.instance == self.instance:
@@ -277,8 +277,8 @@
         now = loop.time()
         frame = build_call_frame(call, now, tokens, self._target_statuses.get(member.instance))
         exchange = await self.links.call(member.peers, frame)
-        if call.waits is not None:
-            call.waits.seconds += loop.time() - now
+        if call.wait_time is not None:
+            call.wait_time.seconds += loop.time() - now
         return exchange
 
     def _update_router(self, now: float, member: Member, reply: Reply) -> None:
@@ -289,8 +289,8 @@
         failed = not reply.kind and reply.status >= MIN_SERVER_ERROR_STATUS
         # A target that rejects calls has the fewest in flight. Without counting its rejections
         # as errors, it would attract ever more calls.
-        is_turned_away = reply.kind == ErrorKind.TARGET_REFUSED.value
-        error = is_turned_away or (failed and reply.retry_after <= 0)
+        is_rejected = reply.kind == ErrorKind.TARGET_REFUSED.value
+        error = is_rejected or (failed and reply.retry_after <= 0)
         self.router.record_answer(now, member.instance, reply.load, error=error)
         if reply.kind in (ErrorKind.DRAINING.value, ErrorKind.NO_TARGET.value):
             self.router.avoid_leaving(now, member.instance)
@@ -315,18 +315,18 @@
         """Return whether the level in a reply is valid for the whole service.
 
         Calls that a target with a rate limit does not accept go to the targets without one, so
-        the latter determine the level of the service. Otherwise, when one of three targets named
-        a rate of 0.5 calls a second, entry nodes refused a quarter of the requests by its level
-        although the other two targets had free capacity.
+        the latter determine the level of the service. Without this check, when one of three
+        targets had a rate limit of 0.5 calls a second, entry nodes refused a quarter of the
+        requests by its level, although the other two targets had free capacity.
         """
-        if not _has_named_rate(reply.target_state):
+        if not _has_rate_limit(reply.target_state):
             return True
         if reply.load is not None and reply.load.limited_by != service:
             return True
         statuses = self._target_statuses
-        return all(_has_named_rate(statuses.get(m.instance)) for m in self.view.serving_members(service))
+        return all(_has_rate_limit(statuses.get(m.instance)) for m in self.view.serving_members(service))
 
-    def _record_deaths(self, call: PendingCall, reply: Reply) -> PendingCall:
+    def _record_crashes(self, call: PendingCall, reply: Reply) -> PendingCall:
         """Record the target crashes reported by a reply, and return the call with their number."""
         if not reply.deaths:
             return call
@@ -352,7 +352,7 @@
     return not reply.kind and reply.status < MIN_SERVER_ERROR_STATUS
 
 
-def _has_named_rate(status: RelayedTargetState | None) -> bool:
+def _has_rate_limit(status: RelayedTargetState | None) -> bool:
     return status is not None and status.rate is not None
 
 
--- a/dunlinsaddle/calls/execute.py
+++ b/dunlinsaddle/calls/execute.py
@@ -18,7 +18,7 @@
 from dunlinsaddle.stats import Hop, Stats
 from functools import partial
 
-TICK_SECONDS = UPDATE_INTERVAL_SECONDS + 0.0001  #: slightly longer than a tick, so that it is due when the timer fires
+TICK_SECONDS = UPDATE_INTERVAL_SECONDS + 0.0001  #: slightly longer than a tick, so that the tick is due
 
 
 #: Called with a request id, the time at which that request was sent, and what the target reported
@@ -105,8 +105,8 @@
     async def _admit_and_run(self, call: PendingCall) -> Reply:
         ticket = self._build_ticket(call.ctx)
         failure = await self._admit(ticket, call.ctx)
-        if call.waits is not None:
-            call.waits.seconds += self.now() - ticket.arrived_at
+        if call.wait_time is not None:
+            call.wait_time.seconds += self.now() - ticket.arrived_at
         if failure is not None:
             return self._refuse(failure, call)
         return await self._run(call, ticket)
@@ -250,7 +250,7 @@
         return self.admission.load(now).with_chain_level(self.levels, now, ctx.service, ctx.rule)
 
     def _set_waiting_downstream(self, ticket: Ticket, now: float, is_waiting: bool) -> None:
-        """Release a slot while the target waits for a downstream call of this call."""
+        """Free the slot of a call while the target waits for a downstream call made for it."""
         if ticket.call_id in self._unadmitted_ids:
             return
         if is_waiting:
@@ -264,7 +264,7 @@
         if address is None:
             # The target disappeared while the call waited in the queue.
             return refusal(Failure(ErrorKind.NO_TARGET, 'the target has gone', RETRY_AFTER_SECONDS))
-        budget = call.ctx.deadline - running.started
+        budget = call.ctx.deadline - running.started_at
         headers = self.dialect.request_headers(call, running, budget)
         req = HttpRequest(call.method, call.path, headers, call.body, '')
         may_repeat = partial(self._may_repeat, call) if call.ctx.idempotent else None
@@ -279,8 +279,8 @@
         )
         elapsed = loop.time() - sent_at
         self.stats.took(Hop.TARGET, elapsed)
-        if call.waits is not None:
-            call.waits.seconds += elapsed
+        if call.wait_time is not None:
+            call.wait_time.seconds += elapsed
         match exchange:
             case Answered(response):
                 self._report_target_status(call, sent_at, response)
