--- a/dunlinsaddle/calls/accepted_connection.py
+++ b/dunlinsaddle/calls/accepted_connection.py
@@ -167,7 +167,7 @@
         self._set_timer(self.listener.limits.header_timeout)
 
     def _cancel_requests(self) -> None:
-        """Cancel all requests; those behind a ``Connection: close`` count as never read."""
+        """Cancel all requests; clients consider those after a ``Connection: close`` unprocessed."""
         for exchange in self.exchanges:
             if exchange.task is not None:
                 exchange.task.cancel()
@@ -265,8 +265,8 @@
     def _encode_response(self, exchange: _Exchange) -> bytes:
         assert exchange.response is not None
         if self.listener.closing and not self.exchanges and not self.unstarted:
-            # Only the last response announces the close: requests behind it count as unread,
-            # while those in progress have already been passed on.
+            # Announce the close only with the last response: clients consider requests behind a
+            # ``Connection: close`` as unprocessed, but these have already been passed on.
             exchange.keep_alive = False
         try:
             return self._serialize(exchange, exchange.response)
--- a/dunlinsaddle/calls/crash_notifier.py
+++ b/dunlinsaddle/calls/crash_notifier.py
@@ -34,8 +34,8 @@
         extra = {'fingerprint': f'{fingerprint:016x}', 'deaths': deaths}
         self.logger.warning('target died while it ran a request', extra=extra)
         for member in self.recipients():
-            send = self.links.notify(member.peers, TargetDeaths(fingerprint, deaths))
-            task = self.loop.create_task(send)
+            report = self.links.notify(member.peers, TargetDeaths(fingerprint, deaths))
+            task = self.loop.create_task(report)
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
 
--- a/dunlinsaddle/calls/owned_keys.py
+++ b/dunlinsaddle/calls/owned_keys.py
@@ -29,7 +29,7 @@
         me: Owner,
         clock: Callable[[], int],
         view: MemberView,
-        calls: MemberCaller,
+        member_calls: MemberCaller,
         executor: Executor,
         stats: Stats,
         key_window: Callable[[str], float],
@@ -37,7 +37,7 @@
         self.me = me
         self.clock = clock
         self.view = view
-        self.calls = calls
+        self.member_calls = member_calls
         self.executor = executor
         self.stats = stats
         self.key_window = key_window
@@ -97,12 +97,12 @@
             now = asyncio.get_running_loop().time()
             members = {m.instance: m for m in self.view.serving_members(call.ctx.service)}
             candidates = to_candidates(members.values())
-            chosen = self.calls.router.choose(now, candidates, frozenset(tried_instances))
+            chosen = self.member_calls.router.choose(now, candidates, frozenset(tried_instances))
             if chosen is None or not call.allowance.spend():
                 break
             tried_instances.add(chosen.instance)
             self.stats.retries += 1
-            match await self.calls.call(call, members[chosen.instance], owner_approved=True):
+            match await self.member_calls.call(call, members[chosen.instance], owner_approved=True):
                 case Reply() as answer:
                     reply = answer
                 case NotSent(detail):
--- a/tests/once_cluster.py
+++ b/tests/once_cluster.py
@@ -71,7 +71,7 @@
         links: Any = SimpleNamespace(call=self.call, push_keys=self.push_keys)
         self.links = links
         executor: Any = SimpleNamespace(execute=self.execute)
-        self.gate = IdempotencyRouter(
+        self.router = IdempotencyRouter(
             self.keeper,
             self.view,
             Router('bangor-hall', rng),
@@ -90,7 +90,7 @@
             return Lost('no answer', ErrorKind.DEADLINE_EXCEEDED)
         if frame.owner_approved:
             return await peer.execute(read_call_frame(frame, self.loop.time()))
-        reply = await peer.gate.handle_peer_call(frame)
+        reply = await peer.router.handle_peer_call(frame)
         if self.cluster.replies_to_lose > 0:
             self.cluster.replies_to_lose -= 1
             return Lost('the link ended')
@@ -101,7 +101,7 @@
         is_reachable = frozenset((self.name, address.host)) not in self.cluster.cut_links
         if peer is None or not is_reachable or address.host in self.cluster.frozen:
             return False
-        take_over_keys(peer.gate.tables, msgspec.convert(msgspec.to_builtins(push), KeysPush))
+        take_over_keys(peer.router.tables, msgspec.convert(msgspec.to_builtins(push), KeysPush))
         return True
 
     async def drain_and_leave(self) -> None:
@@ -109,8 +109,8 @@
         self.leaving = True
         await self.tick()
         self.keeper.close()
-        await self.gate.wait_idle()
-        await hand_over_keys(self.gate.tables, self.keeper, self.view, self.links)
+        await self.router.wait_idle()
+        await hand_over_keys(self.router.tables, self.keeper, self.view, self.links)
         for node in self.cluster.nodes.values():
             node.view.merge(self.cluster.current_member(self.name)._replace(state=State.LEFT))
 
@@ -130,7 +130,7 @@
         return Reply(0, 200, [], f'{key} at {self.name}'.encode(), Outcome.DONE)
 
     async def handle(self, call: PendingCall) -> Reply:
-        return await self.gate.handle(call)
+        return await self.router.handle(call)
 
     async def tick(self) -> None:
         serving = [m.instance for m in self.view.serving_members(SERVICE)]
--- a/tests/test_once.py
+++ b/tests/test_once.py
@@ -71,7 +71,7 @@
                 await owner.send(key)
             await owner.send(key, fingerprint=8)
             counts = {'accepted': 1, 'repeated': 2, 'key-reused': 1}
-            self.assertEqual(counts, dict(owner.gate.owned_keys.stats.keys))
+            self.assertEqual(counts, dict(owner.router.owned_keys.stats.keys))
             holdings = [n.keeper.owned_ranges(SERVICE) for n in cluster.nodes.values()]
             self.assertEqual(64, sum(owned_ranges.ranges for owned_ranges in holdings))
             await asyncio.sleep(30)
