--- a/dunlinsaddle/calls/dispatch.py
+++ b/dunlinsaddle/calls/dispatch.py
@@ -246,7 +246,9 @@
         self, ctx: CallContext, member: Member, started_at: float, *, is_success: bool
     ) -> float:
         now = self.now()
-        self.router.record_duration(now, member.instance, ctx.rule, now - started_at, completed=is_success)
+        self.router.record_duration(
+            now, member.instance, ctx.rule, now - started_at, completed=is_success
+        )
         return round(now - started_at, 4)
 
     def _process_exchange(
--- a/dunlinsaddle/calls/execute.py
+++ b/dunlinsaddle/calls/execute.py
@@ -18,7 +18,8 @@
 from dunlinsaddle.stats import Hop, Stats
 from functools import partial
 
-TICK_SECONDS = UPDATE_INTERVAL_SECONDS + 0.0001  #: slightly longer than a tick, so that the tick is due
+#: Slightly longer than the interval, so that the update is due when the timer fires.
+TICK_SECONDS = UPDATE_INTERVAL_SECONDS + 0.0001
 
 
 #: Called with a request id, the time at which that request was sent, and what the target reported
@@ -152,11 +153,11 @@
 
     async def _admit(self, ticket: Ticket, ctx: CallContext) -> Failure | None:
         loop = self.loop
-        verdict = self.admission.admit(loop.time(), ticket)
+        decision = self.admission.admit(loop.time(), ticket)
         if self.is_observe_only(ctx.service):
-            self._count_observed(ticket, verdict)
+            self._count_observed(ticket, decision)
             return None
-        match verdict:
+        match decision:
             case Run():
                 return None
             case Refuse(failure):
@@ -179,13 +180,13 @@
         self.stats.waited(loop.time() - ticket.arrived_at)
         return refused
 
-    def _count_observed(self, ticket: Ticket, verdict: AdmissionDecision) -> None:
+    def _count_observed(self, ticket: Ticket, decision: AdmissionDecision) -> None:
         """Count the decision of admission in observe mode, in which every call runs.
 
         An older system still protects the service, and two systems must not both refuse its
         calls. A call that would have waited stays in admission's queue until it ends.
         """
-        match verdict:
+        match decision:
             case Run():
                 return
             case Wait(evicted):
--- a/dunlinsaddle/calls/handlers.py
+++ b/dunlinsaddle/calls/handlers.py
@@ -78,7 +78,7 @@
     async def handle(self, req: HttpRequest) -> HttpResponse:
         """Handle one request of a caller."""
         if req.path.startswith(KEYS_PATH):
-            return await self._mint_key(req)
+            return await self._generate_key(req)
         path = split_path(req.path)
         record = self.book.find(path['service'])
         if record is None:
@@ -98,14 +98,14 @@
         record_added_latency(self.stats, call, reply, loop.time() - started_at)
         return self._build_response(reply, call)
 
-    async def _mint_key(self, req: HttpRequest) -> HttpResponse:
+    async def _generate_key(self, req: HttpRequest) -> HttpResponse:
         service = req.path.removeprefix(KEYS_PATH)
         if self.book.find(service) is None or self.dispatcher.idempotency_router is None:
             return failure_response(Failure(ErrorKind.UNKNOWN_SERVICE, service))
         if req.method != 'POST':
             return failure_response(Failure(ErrorKind.METHOD_NOT_ALLOWED, req.method))
         return json_response(
-            {'key': (await self.dispatcher.idempotency_router.mint_key(service)).text}
+            {'key': (await self.dispatcher.idempotency_router.generate_key(service)).text}
         )
 
     def _check_resend_rate(
--- a/dunlinsaddle/calls/idempotency.py
+++ b/dunlinsaddle/calls/idempotency.py
@@ -32,12 +32,12 @@
     """State of a call while it is forwarded to the owner of its key.
 
     ``nodes_asked`` counts the nodes that were asked as the supposed owner before this one.
-    ``is_minted_here`` is set if this node created the key, so that no other node can have run it
+    ``is_generated_here`` is set if this node created the key, so that no other node can have run it
     before. ``is_map_refreshed`` is set if the map of owners was read again for this call.
     """
 
     nodes_asked: int = 0
-    is_minted_here: bool = False
+    is_generated_here: bool = False
     is_map_refreshed: bool = False
 
 
@@ -46,7 +46,7 @@
 
     "Not run" refers to the key, not to one attempt, because the caller may have sent the key
     through another node before. Therefore only these may answer it: the owner of the key, the
-    node that minted the key, and a node that has just read that no node owns the key.
+    node that generated the key, and a node that has just read that no node owns the key.
     """
 
     def __init__(
@@ -94,11 +94,11 @@
         reply.unspent_retry_tokens = call.allowance.tokens
         return reply
 
-    async def mint_key(self, service: str) -> TimestampedKey:
+    async def generate_key(self, service: str) -> TimestampedKey:
         """Create a key for a caller that is owned by a node which can be reached."""
         if self.keeper.range_map_of(service) is None:
             await self.keeper.refresh(service)
-        return self._mint_key(service, set())
+        return self._generate_key(service, set())
 
     def status(self, service: str) -> dict[str, Any]:
         """Return the state of the keys at this node for operators; times in seconds."""
@@ -121,16 +121,16 @@
         await self.owned_keys.wait_idle()
 
     async def _handle_without_key(self, call: PendingCall) -> Reply:
-        """Mint a key owned by a reachable node, and another one if that owner is unreachable."""
+        """Generate a key of a serving node, and another one while its owner is unreachable."""
         service = call.ctx.service
         if self.keeper.range_map_of(service) is None:
             await self.keeper.refresh(service)
         tried_instances: set[str] = set()
         while True:
-            key = self._mint_key(service, tried_instances)
+            key = self._generate_key(service, tried_instances)
             headers = [*call.headers, (KEY_HEADER, key.text.encode())]
             call_with_key = call._replace(ctx=call.ctx._replace(key=key.text), headers=headers)
-            reply = await self._route(call_with_key, key, KeyRoute(is_minted_here=True))
+            reply = await self._route(call_with_key, key, KeyRoute(is_generated_here=True))
             if reply.kind != ErrorKind.OWNER_UNAVAILABLE.value:
                 return reply
             interval = self.keeper.find(service, key)
@@ -138,7 +138,7 @@
                 return reply
             tried_instances.add(interval.owner.instance)
 
-    def _mint_key(self, service: str, tried_instances: set[str]) -> TimestampedKey:
+    def _generate_key(self, service: str, tried_instances: set[str]) -> TimestampedKey:
         now = self.keeper.clock()
         range_map = self.keeper.range_map_of(service) or RangeMap()
         ranges: dict[str, list[int]] = {}
@@ -160,7 +160,7 @@
             case OpaqueKey():
                 return await self._route_opaque_key(call, key, route)
             case TimestampedKey():
-                return await self._route_born_key(call, key, route)
+                return await self._route_timestamped_key(call, key, route)
 
     async def _route_opaque_key(self, call: PendingCall, key: OpaqueKey, route: KeyRoute) -> Reply:
         claim = await claim_key(
@@ -174,7 +174,9 @@
             return await self.owned_keys.run_once(call, key, claim.birth)
         return await self._forward_to_owner(call, claim.owner, route)
 
-    async def _route_born_key(self, call: PendingCall, key: TimestampedKey, route: KeyRoute) -> Reply:
+    async def _route_timestamped_key(
+        self, call: PendingCall, key: TimestampedKey, route: KeyRoute
+    ) -> Reply:
         service = call.ctx.service
         interval = self.keeper.find(service, key)
         if not route.is_map_refreshed and self._may_be_outdated(service, interval, route):
@@ -189,7 +191,7 @@
         reply = await self._forward_to_owner(
             call, self._choose_answering_owner(service, key, interval.owner, route), route
         )
-        reply = self._mark_not_run(reply) if route.is_minted_here else reply
+        reply = self._mark_not_run(reply) if route.is_generated_here else reply
         if (
             reply.kind not in UNREACHABLE_KINDS
             or route.is_map_refreshed
@@ -199,7 +201,7 @@
         newer_interval = self.keeper.find(service, key)
         if newer_interval is None or newer_interval.owner == interval.owner:
             return reply
-        return await self._route_born_key(call, key, route._replace(is_map_refreshed=True))
+        return await self._route_timestamped_key(call, key, route._replace(is_map_refreshed=True))
 
     def _may_be_outdated(self, service: str, interval: Interval | None, route: KeyRoute) -> bool:
         """Return whether a newer map may name a different owner than this interval."""
@@ -218,7 +220,7 @@
         self, service: str, key: TimestampedKey, owner: Owner, route: KeyRoute
     ) -> Owner:
         """Return who can answer for a key: its owner, or the next owner if it has ended."""
-        if route.is_minted_here or not self._has_ended(service, owner):
+        if route.is_generated_here or not self._has_ended(service, owner):
             return owner
         next_owner = find_next_owner(self.keeper, self.view, service, key)
         return owner if next_owner is None or next_owner == self.me else next_owner
@@ -229,9 +231,13 @@
         # The range is being handed over to another node, and that write is not confirmed yet.
         return self.owned_keys.refuse(ErrorKind.OWNER_UNREACHABLE, 'the key is being handed over')
 
-    async def _route_unowned_key(self, call: PendingCall, key: TimestampedKey, route: KeyRoute) -> Reply:
+    async def _route_unowned_key(
+        self, call: PendingCall, key: TimestampedKey, route: KeyRoute
+    ) -> Reply:
         range_map = self.keeper.range_map_of(call.ctx.service)
-        if range_map is not None and range_map.is_pruned(range_number(call.ctx.service, key), key.birth):
+        if range_map is not None and range_map.is_pruned(
+            range_number(call.ctx.service, key), key.birth
+        ):
             return self.owned_keys.refuse(
                 ErrorKind.KEY_EXPIRED, 'the key is older than all remembered keys'
             )
@@ -241,7 +247,7 @@
             )
         # Without a map, as after a start during an outage of the platform, other nodes may know
         # the owner.
-        if route.is_map_refreshed or (route.is_minted_here and range_map is not None):
+        if route.is_map_refreshed or (route.is_generated_here and range_map is not None):
             return self.owned_keys.refuse(
                 ErrorKind.OWNER_UNAVAILABLE, 'no node owns the key at present'
             )
@@ -250,16 +256,18 @@
         ]
         if not others or route.nodes_asked >= MAX_OWNER_HOPS:
             kind = (
-                ErrorKind.OWNER_UNAVAILABLE if route.is_minted_here else ErrorKind.OWNER_UNREACHABLE
+                ErrorKind.OWNER_UNAVAILABLE
+                if route.is_generated_here
+                else ErrorKind.OWNER_UNREACHABLE
             )
             return self.owned_keys.refuse(kind, 'no reachable node knows the owner of the key')
         reply = await self._forward(call, self.rng.choice(others), route)
-        return self._mark_not_run(reply) if route.is_minted_here else reply
+        return self._mark_not_run(reply) if route.is_generated_here else reply
 
     async def _forward_to_owner(self, call: PendingCall, owner: Owner, route: KeyRoute) -> Reply:
         member = self.view.find(owner.instance)
         ended = self._has_ended(call.ctx.service, owner)
-        if route.is_minted_here and (member is None or ended):
+        if route.is_generated_here and (member is None or ended):
             return self.owned_keys.refuse(
                 ErrorKind.OWNER_UNAVAILABLE, f'the owner {owner.instance} is not available'
             )
@@ -281,7 +289,7 @@
         match await self.member_calls.call(call, member, owner_lookups=route.nodes_asked + 1):
             case Reply() as reply:
                 return reply
-            case NotSent(detail) if route.is_minted_here:
+            case NotSent(detail) if route.is_generated_here:
                 return self.owned_keys.refuse(ErrorKind.OWNER_UNAVAILABLE, detail)
             case NotSent(detail):
                 return self.owned_keys.refuse(ErrorKind.OWNER_UNREACHABLE, detail)
@@ -289,7 +297,7 @@
                 return refusal(Failure(kind, detail))
 
     def _mark_not_run(self, reply: Reply) -> Reply:
-        """Answer "not run" for a key minted here that no node accepted.
+        """Answer "not run" for a key generated here that no node accepted.
 
         The key was created for this call, so no earlier attempt can have run it.
         """
--- a/tests/once_cluster.py
+++ b/tests/once_cluster.py
@@ -204,7 +204,7 @@
     async def send_to(self, name: str, count: int, keys: list[str], ahead: int = 0) -> None:
         """Send calls with new keys to one node, and append the keys to ``keys``."""
         for _ in range(count):
-            keys.append(self.mint_key(ahead))
+            keys.append(self.generate_key(ahead))
             await self.nodes[name].send(keys[-1])
 
     async def refresh(self) -> None:
@@ -212,7 +212,7 @@
         for node in self.nodes.values():
             await node.keeper.refresh(SERVICE)
 
-    def mint_key(self, skew_ms: int = 0) -> str:
+    def generate_key(self, skew_ms: int = 0) -> str:
         now = EPOCH_MS + int(asyncio.get_running_loop().time() * 1000)
         return generate_key(now + skew_ms, self.rng, SERVICE).text
 
@@ -220,14 +220,16 @@
         """Return the node that owns a key by the map in the store."""
         stored: StoredObject = self.store.objects['ranges', SERVICE]
         parsed_key: Any = parse_key(key).unwrap()
-        interval = decode_range_map(stored.value).find(range_number(SERVICE, parsed_key), parsed_key.birth)
+        interval = decode_range_map(stored.value).find(
+            range_number(SERVICE, parsed_key), parsed_key.birth
+        )
         assert interval is not None
         return self.nodes[interval.owner.instance]
 
-    def mint_key_owned_by(self, name: str) -> str:
-        """Mint a key that this node owns by the map in the store."""
+    def generate_key_owned_by(self, name: str) -> str:
+        """Generate a key that this node owns by the map in the store."""
         while True:
-            key = self.mint_key()
+            key = self.generate_key()
             if self.find_owner(key).name == name:
                 return key
 
--- a/tests/test_once.py
+++ b/tests/test_once.py
@@ -55,7 +55,7 @@
 
     def test_every_node_returns_the_same_reply_to_a_key(self):
         async def scenario(cluster: Cluster) -> None:
-            key = cluster.mint_key()
+            key = cluster.generate_key()
             replies = [await node.send(key) for node in cluster.nodes.values()]
             self.assertEqual(1, len({reply.body for reply in replies}))
             self.assertEqual({Outcome.DONE}, {reply.outcome for reply in replies})
@@ -66,7 +66,7 @@
     def test_owner_counts_its_keys_and_reports_its_ranges(self):
         async def scenario(cluster: Cluster) -> None:
             owner = cluster.nodes['bangor-1']
-            key = cluster.mint_key_owned_by('bangor-1')
+            key = cluster.generate_key_owned_by('bangor-1')
             for _ in range(3):
                 await owner.send(key)
             await owner.send(key, fingerprint=8)
@@ -86,7 +86,7 @@
         # continues, so the resend gets "in progress" without waiting, and later its reply.
         async def scenario(cluster: Cluster) -> None:
             loop = asyncio.get_running_loop()
-            key = cluster.mint_key_owned_by('bangor-1')
+            key = cluster.generate_key_owned_by('bangor-1')
             cluster.nodes['bangor-1'].run_seconds = 3.0
             first = asyncio.create_task(cluster.nodes['menai-1'].send(key))
             await asyncio.sleep(1)
@@ -103,7 +103,7 @@
     def test_run_continues_after_its_caller_disconnects(self):
         # The entry node cancels its call. The run must continue, or its outcome would be lost.
         async def scenario(cluster: Cluster) -> None:
-            key = cluster.mint_key_owned_by('bangor-1')
+            key = cluster.generate_key_owned_by('bangor-1')
             cluster.nodes['bangor-1'].run_seconds = 1.0
             gone = asyncio.create_task(cluster.nodes['bangor-1'].send(key))
             await asyncio.sleep(0.1)
@@ -118,7 +118,7 @@
         # The owner ran the key, is killed and restarts with an empty memory. No node knows
         # whether the key ran, so each one answers "outcome unknown" and none runs it again.
         async def scenario(cluster: Cluster) -> None:
-            key = cluster.mint_key_owned_by('bangor-1')
+            key = cluster.generate_key_owned_by('bangor-1')
             await cluster.nodes['menai-1'].send(key)
             del cluster.nodes['bangor-1']
             reply = await cluster.nodes['menai-1'].send(key)
@@ -135,9 +135,11 @@
     def test_restarted_owner_accepts_keys_again_in_time(self):
         # An owner whose clock is 20 s fast is killed and restarted at the same address with a
         # correct clock. Keys that it may have run stay unknown, including those that it accepted
-        # only because of its fast clock. Keys minted later run once each.
+        # only because of its fast clock. Keys generated later run once each.
         async def scenario(cluster: Cluster) -> None:
-            old_keys = [cluster.mint_key(ahead) for ahead in (0, 20_000, 45_000) for _ in range(20)]
+            old_keys = [
+                cluster.generate_key(ahead) for ahead in (0, 20_000, 45_000) for _ in range(20)
+            ]
             for key in old_keys:
                 await cluster.nodes['menai-1'].send(key)
             ran = dict(cluster.runs)
@@ -149,7 +151,7 @@
             )
             while loop.time() - started_at < 320:
                 await cluster.run_ticks(1)
-                key = cluster.mint_key()
+                key = cluster.generate_key()
                 reply = await cluster.nodes['menai-1'].send(key)
                 outcomes[loop.time() - started_at] = reply.outcome
             unserved_times = [at for at, outcome in outcomes.items() if outcome is not Outcome.DONE]
@@ -164,7 +166,7 @@
         # A process is paused after it has closed its port, and its successor takes over its
         # keys. When it resumes, it must not run the calls that it has already read.
         async def scenario(cluster: Cluster) -> None:
-            key = cluster.mint_key_owned_by('bangor-1')
+            key = cluster.generate_key_owned_by('bangor-1')
             cluster.nodes['bangor-1'].keeper.close()
             await cluster.nodes['bangor-1'].send(key)
             self.assertEqual(0, cluster.runs[key])
@@ -173,17 +175,17 @@
 
     def test_owner_that_resumes_runs_no_key_of_its_successor(self):
         # The owner freezes until its ranges have expired and others own them. When it resumes
-        # with its outdated map, it still owns the keys minted before the end of its interval.
+        # with its outdated map, it still owns the keys generated before the end of its interval.
         # Later keys it refuses; they run only at the successor.
         async def scenario(cluster: Cluster) -> None:
             owner = cluster.nodes['bangor-1']
-            old_key = cluster.mint_key_owned_by('bangor-1')
+            old_key = cluster.generate_key_owned_by('bangor-1')
             cluster.frozen.add('bangor-1')
             for name in NAMES[1:]:
                 gone = build_member('bangor-1', state=State.DEAD)
                 cluster.nodes[name].view.merge(gone)
             await cluster.run_ticks(200)
-            young_keys = [cluster.mint_key() for _ in range(40)]
+            young_keys = [cluster.generate_key() for _ in range(40)]
             for key in [old_key, *young_keys]:
                 await cluster.nodes['menai-1'].send(key)
             cluster.frozen.clear()
@@ -204,7 +206,7 @@
             served = 0
             for _ in range(30):
                 await cluster.run_ticks(6)
-                key = cluster.mint_key()
+                key = cluster.generate_key()
                 replies = [
                     await node.send(key) for node in (isolated_node, *cluster.nodes.values())
                 ]
@@ -222,7 +224,7 @@
             owner.leaving = cluster.store.delays_writes = True
             await owner.tick()
             await asyncio.sleep(5)
-            keys_during_handover = [cluster.mint_key_owned_by('bangor-1') for _ in range(20)]
+            keys_during_handover = [cluster.generate_key_owned_by('bangor-1') for _ in range(20)]
             await asyncio.sleep(5)
             await owner.tick()
             for key in keys_during_handover:
@@ -245,7 +247,7 @@
             writes = cluster.nodes['bangor-1'].keeper.writes
             await cluster.nodes['bangor-1'].tick()
             self.assertEqual(writes, cluster.nodes['bangor-1'].keeper.writes)
-            await cluster.nodes['menai-1'].send(cluster.mint_key_owned_by('bangor-1'))
+            await cluster.nodes['menai-1'].send(cluster.generate_key_owned_by('bangor-1'))
 
         self.run_cluster(scenario)
 
@@ -255,7 +257,7 @@
             calls = cluster.store.calls
             for _ in range(20):
                 await asyncio.sleep(10)
-                reply = await cluster.nodes['menai-1'].send(cluster.mint_key())
+                reply = await cluster.nodes['menai-1'].send(cluster.generate_key())
                 self.assertEqual(Outcome.DONE, reply.outcome)
             # In 200 s each of three nodes rereads the map every 60 s; calls cause no reads.
             self.assertLessEqual(cluster.store.calls - calls, 12)
@@ -271,7 +273,7 @@
                 for node in cluster.nodes.values():
                     await node.tick()
                 if second % 10 == 0:
-                    await cluster.nodes['menai-1'].send(cluster.mint_key())
+                    await cluster.nodes['menai-1'].send(cluster.generate_key())
                 await asyncio.sleep(1)
             self.assertLessEqual(cluster.store.calls - calls, 60 * 6 * 1.5)
             self.assertEqual({'done': 360}, dict(cluster.answers))
@@ -284,13 +286,13 @@
         # during the handover.
         async def scenario(cluster: Cluster) -> None:
             owner = cluster.nodes['bangor-1']
-            key = cluster.mint_key_owned_by('bangor-1')
+            key = cluster.generate_key_owned_by('bangor-1')
             owner.leaving, owner.refusal_kind = True, ErrorKind.DRAINING
             replies = [await node.send(key) for node in cluster.nodes.values()]
             self.assertEqual({Outcome.DONE}, {reply.outcome for reply in replies})
             await owner.tick()
             for _ in range(40):
-                key = cluster.mint_key()
+                key = cluster.generate_key()
                 replies = [await node.send(key) for node in cluster.nodes.values()]
                 self.assertEqual({Outcome.DONE}, {reply.outcome for reply in replies})
                 self.assertEqual(1, cluster.runs[key])
@@ -323,7 +325,7 @@
         # The owner's target is overloaded, so the target of another node runs the key. The owner
         # still answers duplicates: "in progress" at once, later the reply.
         async def scenario(cluster: Cluster) -> None:
-            key = cluster.mint_key_owned_by('bangor-1')
+            key = cluster.generate_key_owned_by('bangor-1')
             cluster.nodes['bangor-1'].refusal_kind = ErrorKind.OVERLOADED
             for name in NAMES[1:]:
                 cluster.nodes[name].run_seconds = 2.0
@@ -344,7 +346,7 @@
         async def scenario(cluster: Cluster) -> None:
             cluster.nodes['bangor-1'].refusal_kind = ErrorKind.OVERLOADED
             cluster.frozen |= set(NAMES[1:])
-            key = cluster.mint_key_owned_by('bangor-1')
+            key = cluster.generate_key_owned_by('bangor-1')
             reply = await cluster.nodes['bangor-1'].send(key)
             self.assertEqual(Outcome.UNKNOWN, reply.outcome)
             cluster.frozen.clear()
@@ -358,7 +360,7 @@
 
     def test_refused_key_may_be_resent_and_lost_key_never_runs_again(self):
         async def scenario(cluster: Cluster) -> None:
-            key, entry = cluster.mint_key_owned_by('bangor-1'), cluster.nodes['menai-1']
+            key, entry = cluster.generate_key_owned_by('bangor-1'), cluster.nodes['menai-1']
             for node in cluster.nodes.values():
                 node.refusal_kind = ErrorKind.OVERLOADED
             self.assertEqual(Outcome.NOT_RUN, (await entry.send(key)).outcome)
@@ -373,8 +375,9 @@
         self.run_cluster(scenario)
 
     def test_call_without_a_key_gets_a_key_of_a_reachable_owner(self):
-        # The caller sends no key. A node that cannot reach the others mints a key of an owner
-        # that it can reach. As it minted the key, it may answer "not run" if it never sent it.
+        # The caller sends no key, and the entry node is cut off from the others. It generates
+        # keys until it can reach the owner of one. It knows that the keys before did not run,
+        # because it generated them and never sent them.
         async def scenario(cluster: Cluster) -> None:
             cluster.cut_links |= {frozenset(('menai-1', name)) for name in NAMES[:2]}
             for _ in range(30):
@@ -400,7 +403,7 @@
 
     def test_deleted_range_map_is_not_recreated(self):
         async def scenario(cluster: Cluster) -> None:
-            key = cluster.mint_key_owned_by('bangor-1')
+            key = cluster.generate_key_owned_by('bangor-1')
             held = cluster.store.objects['ranges', SERVICE]
             await cluster.store.delete('ranges', SERVICE, held.version)
             cluster.start('menai-1')
