--- a/dunlinsaddle/calls/listener.py
+++ b/dunlinsaddle/calls/listener.py
@@ -1,8 +1,10 @@
 """HTTP/1.1 listener: passes whole requests to a handler and answers them in order."""
+
 import asyncio
 import os
 import socket
 from collections.abc import Callable
+
 from dunlinsaddle.calls.accepted_connection import AcceptedConnection, Handler
 from dunlinsaddle.calls.http import HttpLimits, HttpRequest
 from dunlinsaddle.settings import Address
