--- a/dunlinsaddle/calls/idempotency.py
+++ b/dunlinsaddle/calls/idempotency.py
@@ -1,6 +1,12 @@
 """Routing of calls that are not idempotent to the only node that may run their key."""
+
 import asyncio
 from collections.abc import Callable
+from random import Random
+from typing import Any, NamedTuple
+
+from result import Err
+
 from dunlinsaddle.calls.call_state import PendingCall, read_call_frame
 from dunlinsaddle.calls.execute import Executor
 from dunlinsaddle.calls.handover import find_next_owner, has_owner_ended
@@ -13,13 +19,18 @@
 from dunlinsaddle.key_ownership.range_manager import RangeManager
 from dunlinsaddle.membership.view import Member, MemberView
 from dunlinsaddle.policy.key_table import KeyTable
-from dunlinsaddle.policy.keys import Key, OpaqueKey, RANGE_COUNT, TimestampedKey, generate_key, parse_key, range_number
+from dunlinsaddle.policy.keys import (
+    RANGE_COUNT,
+    Key,
+    OpaqueKey,
+    TimestampedKey,
+    generate_key,
+    parse_key,
+    range_number,
+)
 from dunlinsaddle.policy.ownership import Interval, Owner, RangeMap
 from dunlinsaddle.policy.route import Router
 from dunlinsaddle.stats import Stats
-from random import Random
-from result import Err
-from typing import Any, NamedTuple
 
 MAX_OWNER_HOPS = 2  #: the entry node asks one node, and that one may know a newer owner
 UNREACHABLE_KINDS = frozenset(
--- a/dunlinsaddle/calls/owned_keys.py
+++ b/dunlinsaddle/calls/owned_keys.py
@@ -1,7 +1,10 @@
 """At-most-once execution at the owner of a key: remembers keys and runs each only once."""
+
 import asyncio
-import msgspec
 from collections.abc import Callable
+
+import msgspec
+
 from dunlinsaddle.calls.call_state import PendingCall
 from dunlinsaddle.calls.execute import Executor
 from dunlinsaddle.calls.member_calls import MemberCaller, to_candidates
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -1,5 +1,6 @@
-
 import asyncio
+from random import Random
+
 from dunlinsaddle.calls.call_state import PendingCall, RunningCalls
 from dunlinsaddle.calls.client import HttpClient
 from dunlinsaddle.calls.connection import Answered
@@ -16,7 +17,6 @@
 from dunlinsaddle.policy.route import Router
 from dunlinsaddle.settings import Address
 from dunlinsaddle.stats import Stats
-from random import Random
 from tests.builders import build_member, build_work
 from tests.clock import PausedClockTest
 
