--- a/dunlinsaddle/access/__init__.py
+++ b/dunlinsaddle/access/__init__.py
@@ -1,1 +1,1 @@
-"""Who may call, how long that is known, and how much each organisation may use."""
+"""Authentication of callers, the lease on the configuration, and quotas of organisations."""
--- a/dunlinsaddle/access/authentication.py
+++ b/dunlinsaddle/access/authentication.py
@@ -1,4 +1,4 @@
-"""Whose request it is, and whether it may begin."""
+"""Authenticates requests by the keys of organisations."""
 
 from result import Err, Ok, Result
 
@@ -11,50 +11,51 @@
 from dunlinsaddle.routes.models import Organisation, Route
 from dunlinsaddle.routes.table import RouteTable
 
-#: Seconds after which a call comes again whose parent is not known: a node that restarted beside
-#: a target that went on knows none of its requests, and they end within a second or so.
+#: Retry-After of a call whose parent request is unknown. A node that restarted beside a running
+#: target knows none of the target's requests, and these end within about a second.
 UNKNOWN_PARENT_RETRY_AFTER_SECONDS = 1.0
-#: Seconds after which a caller comes back to a node that is cut off: cuts mostly last some.
+#: Retry-After of a partitioned node; most partitions last longer than a moment.
 STALE_RETRY_AFTER_SECONDS = 1.0
-#: Seconds that a request waits whose key no configuration here ever held. A proof that comes in
-#: this time is mostly younger than the request.
+#: Longest wait of a request whose key was in no configuration that this node has held. A lease
+#: renewal that arrives within this time usually confirms a moment after the request's arrival.
 CONFIRMATION_TIMEOUT_SECONDS = 1.5
-#: Seconds after which a request comes back whose key may be in a configuration not known here.
+#: Retry-After of a request whose key may be in a configuration that this node does not have yet.
 UNKNOWN_KEY_RETRY_AFTER_SECONDS = 0.5
 
-#: Whose request it is; None where it is nobody's, on a public route or where no key is needed.
+#: The organisation of a request; None on a public route or where no key is required.
 CallerOrganisation = Organisation | None
 
 
 def effective_rank(route: Route, holder: CallerOrganisation) -> Rank:
-    """Give the rank of a request: the organisation's, if it has one, goes before the route's."""
+    """Return the rank of a request: the organisation's if it has one, else the route's."""
     own = None if holder is None else holder.priority
     return Rank(min(route.priority if own is None else own, max(Rank)))
 
 
 class Authenticator:
-    """Says whose request it is by its key, as far as the node may still go by what it knows."""
+    """Finds the organisation of a request by its key, while the configuration lease is valid."""
 
     def __init__(self, follower: ConfigFollower, configuration_lease: ConfigurationLease) -> None:
         self.follower = follower
         self.configuration_lease = configuration_lease
 
     async def wait_for_key_status(self, terms: CallerTerms) -> bool:
-        """Wait where a newer configuration may hold a key; say whether its standing is certain.
+        """Wait for a configuration that may hold an unknown key; return whether that is decided.
 
-        Failure: a key was added a moment ago, and a node that has not heard of it says 401, which
-        is final for the caller. So 401 takes a proof that is younger than the request. A key that
-        was held before is not waited for: who lost it is told at once.
+        Failure: a key was just added, and a node without the new configuration answers 401, which
+        callers treat as final. A 401 therefore requires a lease renewal that confirms a moment
+        after the request's arrival. Keys that were held before are not waited for: a revoked key
+        is refused at once.
         """
         if self._known(terms.key):
             return True
-        arrived = self.configuration_lease.clock()
+        arrived_at = self.configuration_lease.clock()
 
-        def key_status_known() -> bool:
-            return self.configuration_lease.confirmed_at >= arrived or self._known(terms.key)
+        def is_decided() -> bool:
+            return self.configuration_lease.confirmed_at >= arrived_at or self._known(terms.key)
 
-        await self.configuration_lease.wait_for(key_status_known, CONFIRMATION_TIMEOUT_SECONDS)
-        return key_status_known()
+        await self.configuration_lease.wait_for(is_decided, CONFIRMATION_TIMEOUT_SECONDS)
+        return is_decided()
 
     def _known(self, key: bytes) -> bool:
         table = self.follower.table
@@ -71,13 +72,13 @@
         *,
         key_status_known: bool,
     ) -> Result[CallerOrganisation, Failure]:
-        """Give the organisation that holds a request's key, or why it may not begin.
+        """Return the organisation that holds the request's key, or why the request is refused.
 
         Calls of the target beside the node carry no key. One is known by its id, which extends
-        that of a request that runs there now; whose it is, that request says. An id that
+        that of a request that runs there, and counts for that request's organisation. An id that
         extends one which does not run here proves nothing: its caller may be the target, whose
         request was lost with the process before this one, or somebody who hopes to pass without a
-        key. It is told 503: 401 would be wrong for the one, and an answer for the other.
+        key. Such a call gets 503: 401 would be wrong for the target, and admission for the other.
         """
         if not table.requires_keys or parent is not None:
             return Ok(None)
--- a/dunlinsaddle/access/configuration_lease.py
+++ b/dunlinsaddle/access/configuration_lease.py
@@ -1,22 +1,22 @@
-"""How old a node's knowledge of the configuration is, and when it is too old to go by."""
+"""The lease on a node's configuration: how old it may be before keys are no longer trusted."""
 
 import asyncio
 import math
 from collections.abc import Callable
 
-#: Share of the time within which a key that was taken away must be refused everywhere, after
-#: which a node without a new proof lets nobody in by a key. The rest covers clocks that run
-#: unlike, and a store whose watches hear nothing for a second while it drops its history.
+#: Fraction of the revocation limit after which the lease expires. The rest covers differences
+#: between clocks, and a store whose watches report nothing for a second while it drops its
+#: history.
 EXPIRY_FRACTION = 0.75
 
 
 class ConfigurationLease:
-    """A lease on a node's configuration: it lapses unless a new proof comes in time.
+    """Tracks when the configuration was last confirmed to be current; expires without renewal.
 
-    Failure: a key is taken away while a node is cut off from everything; its callers go on, and
-    it lets them in for as long as the cut lasts. No message can tell it, so it has to know by
-    itself when it may have missed one. A proof says that at some moment there was no newer
-    configuration than the one held here. It is as old as the question that it answers, on a clock
+    Failure: a key is revoked while a node is partitioned from everything else. The node would
+    accept the key for as long as the partition lasts, and no message can reach it, so it has to
+    detect by itself that it may have missed a revocation. A confirmation states that there was no
+    newer configuration at the time when the confirming request was sent. The lease uses a clock
     that also counts the time for which the machine was suspended.
 
     ``max_revocation_seconds`` is the time within which a revoked key must be refused
@@ -26,37 +26,37 @@
     def __init__(self, clock: Callable[[], float], max_revocation_seconds: float | None) -> None:
         self.clock = clock
         self.max_revocation_seconds = max_revocation_seconds
-        self.confirmed_at = -math.inf  #: the latest moment at which nothing newer was there
+        self.confirmed_at = -math.inf  #: latest time at which no newer configuration existed
         self._waiting: set[asyncio.Future[None]] = set()
 
     @property
     def age(self) -> float:
-        """Give the seconds since that moment; infinite before the first proof."""
+        """Return the seconds since the last confirmed time; infinite before the first."""
         return self.clock() - self.confirmed_at
 
     @property
     def expired(self) -> bool:
-        """Whether keys may have been taken away that this node still takes for good."""
+        """Whether this node may still accept keys that have been revoked."""
         return (
             self.max_revocation_seconds is not None
             and self.age >= EXPIRY_FRACTION * self.max_revocation_seconds
         )
 
     def renew(self, as_of: float) -> None:
-        """Note that at a moment of the clock nothing newer was there."""
+        """Record that no newer configuration existed at ``as_of``, a time of the clock."""
         if as_of <= self.confirmed_at:
             return
         self.confirmed_at = as_of
         self.notify_waiters()
 
     def notify_waiters(self) -> None:
-        """Let who waits look again, as there is a proof or a newer configuration."""
+        """Make waiters check their predicate again, after a renewal or a new configuration."""
         for fut in self._waiting:
             if not fut.done():
                 fut.set_result(None)
 
     async def wait_for(self, predicate: Callable[[], bool], timeout: float) -> None:
-        """Wait for something that a proof or a newer configuration may bring, not for longer."""
+        """Wait until the predicate is true, checked when notified, or until the timeout."""
         loop = asyncio.get_running_loop()
         until = loop.time() + timeout
         while not predicate():
--- a/dunlinsaddle/access/peers.py
+++ b/dunlinsaddle/access/peers.py
@@ -1,42 +1,39 @@
-"""The other nodes, as the lenders of quotas see them."""
-
+"""The gossip as the transport and membership view of the quota protocol."""
 from collections.abc import Callable
-from typing import Any
-
 from dunlinsaddle.loops import OnLoop
 from dunlinsaddle.membership.agent import GossipAgent
 from dunlinsaddle.membership.messages import QuotaMessage
 from dunlinsaddle.membership.view import MemberView, State
+from typing import Any
 
-#: Seconds for which a dead node counts as one that may still lend behind a cut. Later it is taken
-#: as gone, and the others lend what was its part.
+#: Seconds for which a dead node counts as one that may still lend beyond a network partition.
+#: After that it counts as gone, and the other nodes lend its part.
 RECENTLY_DEAD_SECONDS = 60.0
 
 
 class GossipPeers(OnLoop):
-    """Speaks to the others by the datagrams of the gossip."""
+    """Sends quota messages to other nodes as gossip datagrams."""
 
     def __init__(
         self, agent: GossipAgent, view: MemberView, count_unreached: Callable[[], int]
     ) -> None:
         self.agent = agent
         self.view = view
-        self.count_unreached = (
-            count_unreached  #: how many are listed in the rosters and have not answered
-        )
+        #: Returns how many nodes are listed in the rosters and have not answered.
+        self.count_unreached = count_unreached
 
     def live_nodes(self) -> tuple[list[str], float]:
-        """Give the nodes that are not gone, and what share of all are surely in touch."""
-        there = [m for m in self.view.members() if not m.is_gone]
-        # Suspicions count at once: of a fleet that is cut in two, half are suspected long before
-        # they are held dead, and both halves lend meanwhile.
-        suspected = sum(m.state is State.SUSPECT for m in there)
+        """Return the nodes that are not gone, and the share of all nodes surely reachable."""
+        live = [m for m in self.view.members() if not m.is_gone]
+        # Suspicions count at once. When a fleet is partitioned, half of it is suspected long
+        # before it is declared dead, and both sides lend meanwhile.
+        suspected = sum(m.state is State.SUSPECT for m in live)
         missing = max(self._count_recently_dead(), self.count_unreached())
-        share = (len(there) - suspected) / max(len(there) + missing, 1)
-        return [m.instance for m in there], share
+        share = (len(live) - suspected) / max(len(live) + missing, 1)
+        return [m.instance for m in live], share
 
     def message_header(self) -> dict[str, Any]:
-        """Give the fields of a message that say who sends it."""
+        """Return the message fields that identify the sender."""
         return self.agent.gossip.message_header()
 
     def send(self, instance: str, message: QuotaMessage) -> None:
--- a/dunlinsaddle/access/quotas.py
+++ b/dunlinsaddle/access/quotas.py
@@ -1,46 +1,48 @@
-"""Takes what requests need of their organisation's quota, from the node that lends it."""
+"""Enforces organisations' quotas over all nodes: each quota is lent by one node at a time.
 
+The other nodes of an organisation's lenders are its substitutes, in the order of the hash ring.
+"""
 import asyncio
 import math
 from collections import OrderedDict
 from collections.abc import Callable
-from typing import NamedTuple
-
-from result import Err, Ok, Result
-
 from dunlinsaddle.access.lender_client import LenderClient, QuotaPeers, build_answer
 from dunlinsaddle.errors import ErrorKind, Failure
 from dunlinsaddle.loops import OnLoop
 from dunlinsaddle.membership.messages import QuotaMessage, QuotaRequest, QuotaResponse, QuotaReturn
 from dunlinsaddle.policy.quota import Granted, HashRing, QuotaDecision, QuotaLedger, RetryLater
 from dunlinsaddle.routes.models import Organisation
+from result import Err, Ok, Result
+from typing import NamedTuple
 
-LENDER_TIMEOUT_SECONDS = 0.16  #: after which a lender counts as silent, and the next one is asked
-#: Seconds that a stand-in waits for the lender before it. Longer than askers do: a lender that is
-#: too slow for them but not for the stand-in goes on lending, through it, and nobody lends twice.
+#: Seconds without an answer after which a lender counts as silent and the next one is asked.
+LENDER_TIMEOUT_SECONDS = 0.16
+#: Seconds that a substitute waits for the lender before it. This is longer than the wait of other
+#: nodes: a lender that is too slow for them but not for the substitute continues to lend through
+#: it, and the quota is not lent twice.
 RELAY_TIMEOUT_SECONDS = 0.25
-SUBSTITUTE_TIMEOUT_SECONDS = (
-    0.4  #: for the answer of a stand-in, which first asks the lender before it
-)
-#: Seconds of silence after which a stand-in lends itself: twice what a slow network takes for an
-#: answer. Two who lend at the same time might lend twice the quota.
+#: Seconds to wait for the answer of a substitute, which asks the lender before it first.
+SUBSTITUTE_TIMEOUT_SECONDS = 0.4
+#: Seconds of silence after which a substitute lends by itself: twice the time of an answer on a
+#: slow network. Two nodes that lend at the same time might lend twice the quota.
 TAKEOVER_SILENCE_SECONDS = 0.6
-STARTUP_SECONDS = 5.0  #: for which a node that has started is young
-#: Seconds for which the view of a young node has to stand still before it lends more than a part.
+STARTUP_SECONDS = 5.0  #: for which a node counts as just started
+#: Seconds for which the membership view of a node that has just started must not change before
+#: the node lends the whole quota.
 STABLE_VIEW_SECONDS = 0.4
-#: Share of those listed, and number, that a young node has met before it lends a part.
+#: Share of the listed nodes and number of nodes that a node that has just started must know before
+#: it lends a part of a quota.
 MIN_REACHABLE_SHARE, MIN_KNOWN_NODES = 0.5, 4
-MAX_ACQUIRE_SECONDS = (
-    0.5  #: for all questions of one request: a refusal must leave time to come back
-)
-RETRY_INTERVAL_SECONDS = 0.15  #: between two rounds of questions to the lenders
-REFRESH_DELAY_SECONDS = 0.05  #: after a change of members, as mostly several change at once
-MAX_REMEMBERED_ANSWERS = 4096  #: answers that are held for questions that are sent once more
-NO_LENDER_RETRY_AFTER_SECONDS = 0.5  #: seconds; by then another node has taken over
+#: Time limit for asking lenders for one request: a refusal must leave the caller time to retry.
+MAX_ACQUIRE_SECONDS = 0.5
+RETRY_INTERVAL_SECONDS = 0.15  #: between two rounds of requests to the lenders
+REFRESH_DELAY_SECONDS = 0.05  #: after a membership change: usually several come at once
+MAX_REMEMBERED_ANSWERS = 4096  #: kept to answer requests that are sent again
+NO_LENDER_RETRY_AFTER_SECONDS = 0.5  #: by then another node has taken over
 
 
 class QuotaLease(NamedTuple):
-    """What was taken for one request; ``lender`` is empty where no quota binds."""
+    """One request's part of a quota; ``lender`` is empty for an unlimited organisation."""
 
     organisation: str
     lender: str
@@ -50,11 +52,11 @@
 
 
 class QuotaCoordinator(OnLoop):
-    """Asks the lender of an organisation for each request, and lends to those who ask this node.
+    """Acquires quota from an organisation's lender, and lends quota to other nodes.
 
-    One node lends the quota of an organisation, so that the sum over all nodes holds with no
-    agreement. Where it is silent the next in the ring's order stands in, after it has found it
-    silent itself.
+    One node lends the quota of an organisation, so the limit holds for the sum over all nodes
+    without a consensus protocol. If the lender does not answer, the next node on the ring
+    substitutes for it, after its own requests to the lender have gone unanswered.
     """
 
     def __init__(
@@ -70,54 +72,54 @@
         self.find_organisation = find_organisation
         self.ring = HashRing()
         self.lender_client = LenderClient(peers)
-        self._answered: OrderedDict[tuple[str, int], QuotaResponse | None] = OrderedDict()
-        self._refresh: asyncio.TimerHandle | None = None
+        self._answers: OrderedDict[tuple[str, int], QuotaResponse | None] = OrderedDict()
+        self._refresh_timer: asyncio.TimerHandle | None = None
         self._started_at = math.inf
-        self._changed_at = 0.0
+        self._members_changed_at = 0.0
 
     def on_members_change(self) -> None:
-        """Take who is there in a moment: many change at once."""
-        if self._refresh is None:
-            self._refresh = self.loop.call_later(REFRESH_DELAY_SECONDS, self._take_members)
+        """Schedule an update of the ring; changes that follow soon share it."""
+        if self._refresh_timer is None:
+            self._refresh_timer = self.loop.call_later(REFRESH_DELAY_SECONDS, self._update_ring)
 
-    def _take_members(self) -> None:
-        self._refresh = None
+    def _update_ring(self) -> None:
+        self._refresh_timer = None
         now = self.now()
         self._started_at = min(self._started_at, now)
         names, self.ledger.reachable_share = self.peers.live_nodes()
         if not self.ring.update(names):
             return
-        self._changed_at = now
-        own = self.ledger.organisations()
-        self.ledger.reset(now, [org for org in own if self._is_first(org)])
+        self._members_changed_at = now
+        lent_here = self.ledger.organisations()
+        self.ledger.reset(now, [org for org in lent_here if self._is_first_lender(org)])
 
     async def acquire(self, organisation: Organisation | None) -> Result[QuotaLease, Failure]:
-        """Take one request's part; Err says when there is room."""
+        """Acquire quota for one request; an error says when to retry."""
         if organisation is None or organisation.quota is None:
             return Ok(UNLIMITED)
         until = self.now() + MAX_ACQUIRE_SECONDS
         while self.now() < until:
-            taken = await self._take_once(organisation.name, until)
-            if taken is not None:
-                return taken
-            # After a restart of all no node lends until it has met the others.
+            result = await self._ask_lenders(organisation.name, until)
+            if result is not None:
+                return result
+            # After a restart of all nodes, none lends until it has met the others.
             await asyncio.sleep(RETRY_INTERVAL_SECONDS)
         return Err(
             Failure(ErrorKind.QUOTA_UNKNOWN, 'no lender answers', NO_LENDER_RETRY_AFTER_SECONDS)
         )
 
-    async def _take_once(self, name: str, until: float) -> Result[QuotaLease, Failure] | None:
-        """Ask the lenders in turn; None where none of them decides."""
-        for place, lender in enumerate(self.ring.lenders(name)):
+    async def _ask_lenders(self, name: str, until: float) -> Result[QuotaLease, Failure] | None:
+        """Ask the lenders of an organisation in order; return None if none of them decides."""
+        for index, lender in enumerate(self.ring.lenders(name)):
             if lender == self.instance:
-                verdict = await self._decide(name)
-            elif self._passed_over(lender):
+                decision = await self._decide(name)
+            elif self._is_silent(lender):
                 continue
             else:
-                patience = SUBSTITUTE_TIMEOUT_SECONDS if place else LENDER_TIMEOUT_SECONDS
-                patience = min(patience, max(until - self.now(), 0.0))
-                verdict = await self.lender_client.ask(lender, name, patience)
-            match verdict:
+                timeout = SUBSTITUTE_TIMEOUT_SECONDS if index else LENDER_TIMEOUT_SECONDS
+                timeout = min(timeout, max(until - self.now(), 0.0))
+                decision = await self.lender_client.ask(lender, name, timeout)
+            match decision:
                 case Granted():
                     return Ok(QuotaLease(name, lender))
                 case RetryLater(seconds):
@@ -125,7 +127,7 @@
         return None
 
     def refund(self, lease: QuotaLease) -> None:
-        """Give back what was taken for a request that did not run."""
+        """Return the quota of a request that did not run."""
         if lease.lender == self.instance:
             self.ledger.refund(lease.organisation)
         elif lease.lender:
@@ -135,7 +137,7 @@
             )
 
     def handle_message(self, message: QuotaMessage) -> None:
-        """Take a message of another node."""
+        """Handle a quota message from another node."""
         self.lender_client.mark_alive(message.sender)
         match message:
             case QuotaResponse():
@@ -143,81 +145,88 @@
             case QuotaReturn(organisation=organisation):
                 self.ledger.refund(organisation)
             case QuotaRequest():
-                self._hear_ask(message)
+                self._handle_ask(message)
 
-    def _hear_ask(self, ask: QuotaRequest) -> None:
+    def _handle_ask(self, ask: QuotaRequest) -> None:
         key = (ask.sender, ask.correlation_id)
-        if key in self._answered:
-            # It was sent once more as the answer was late: it must not be lent for twice.
-            answer = self._answered[key]
+        if key in self._answers:
+            # The sender resent the request as the answer was late: do not lend twice for it.
+            answer = self._answers[key]
             if answer is not None:
                 self.peers.send(ask.sender, answer)
             return
-        self._answered[key] = None
-        if len(self._answered) > MAX_REMEMBERED_ANSWERS:
-            self._answered.popitem(last=False)
-        if ask.relayed or self._is_first(ask.organisation):
-            self._answer(ask, self._lend(ask.organisation))
+        self._answers[key] = None
+        if len(self._answers) > MAX_REMEMBERED_ANSWERS:
+            self._answers.popitem(last=False)
+        if ask.relayed or self._is_first_lender(ask.organisation):
+            self._send_answer(ask, self._lend(ask.organisation))
         else:
-            self.lender_client.spawn(self._answer_later(ask))
+            self.lender_client.spawn(self._decide_and_answer(ask))
 
-    async def _answer_later(self, ask: QuotaRequest) -> None:
-        self._answer(ask, await self._decide(ask.organisation))
+    async def _decide_and_answer(self, ask: QuotaRequest) -> None:
+        self._send_answer(ask, await self._decide(ask.organisation))
 
-    def _answer(self, ask: QuotaRequest, verdict: QuotaDecision | None) -> None:
-        answer = build_answer(ask, verdict, self.peers.message_header())
-        self._answered[ask.sender, ask.correlation_id] = answer
+    def _send_answer(self, ask: QuotaRequest, decision: QuotaDecision | None) -> None:
+        answer = build_answer(ask, decision, self.peers.message_header())
+        self._answers[ask.sender, ask.correlation_id] = answer
         self.peers.send(ask.sender, answer)
 
     async def _decide(self, organisation: str) -> QuotaDecision | None:
-        """Decide as the first lender, or as one who stands in for those before; None if neither."""
+        """Decide as first lender, or as substitute for silent ones; return None as neither."""
         for lender in self.ring.lenders(organisation):
             if lender == self.instance:
                 break
             if self.lender_client.silent_seconds(lender) < TAKEOVER_SILENCE_SECONDS:
-                verdict = await self.lender_client.ask(
+                decision = await self.lender_client.ask(
                     lender, organisation, RELAY_TIMEOUT_SECONDS, relayed=True
                 )
-                if verdict is not None:
-                    return verdict
+                if decision is not None:
+                    return decision
             if self.lender_client.silent_seconds(lender) < TAKEOVER_SILENCE_SECONDS:
                 return None
             self.lender_client.probe(lender)
         return self._lend(organisation)
 
     def _lend(self, organisation: str) -> QuotaDecision | None:
-        """Lend of this node's own bucket, if it is one of the lenders."""
-        order = self.ring.lenders(organisation)
+        """Decide from this node's own bucket; return None if it may not lend this quota."""
+        lenders = self.ring.lenders(organisation)
         known = self.find_organisation(organisation)
-        young = self._is_young()
-        if known is None or self.instance not in order or (young and self._alone()):
+        starting = self._is_starting()
+        if known is None or self.instance not in lenders or (starting and self._knows_too_few()):
             return None
         if known.quota is None:
             return Granted()
-        # A young one lends a part only: others that are young may take themselves for the lender.
-        first = order[0] == self.instance and not young
-        return self.ledger.take(self.now(), organisation, known.quota, is_first_lender=first)
+        # A node that has just started lends only a part, as a substitute does: others that have
+        # just started may take themselves for the first lender, too.
+        is_first = lenders[0] == self.instance and not starting
+        return self.ledger.take(self.now(), organisation, known.quota, is_first_lender=is_first)
 
-    def _is_first(self, organisation: str) -> bool:
+    def _is_first_lender(self, organisation: str) -> bool:
         return self.ring.lenders(organisation)[:1] == [self.instance]
 
-    def _passed_over(self, lender: str) -> bool:
-        """Say whether a lender was found silent a moment ago, and is not waited for again."""
-        lately = self.lender_client.was_asked_recently(lender)
-        return lately and self.lender_client.silent_seconds(lender) >= LENDER_TIMEOUT_SECONDS
+    def _is_silent(self, lender: str) -> bool:
+        """Return whether a lender recently failed to answer, so that it is not waited for again."""
+        asked_recently = self.lender_client.was_asked_recently(lender)
+        return (
+            asked_recently and self.lender_client.silent_seconds(lender) >= LENDER_TIMEOUT_SECONDS
+        )
 
-    def _is_young(self) -> bool:
-        """Say whether this node may take itself for a lender only as it has not met the others."""
+    def _is_starting(self) -> bool:
+        """Return whether this node has just started and its membership view still changes.
+
+        Such a node may take itself for a lender only because it has not met the others.
+        """
         now = self.now()
         return (
             now - self._started_at < STARTUP_SECONDS
-            and now - self._changed_at < STABLE_VIEW_SECONDS
+            and now - self._members_changed_at < STABLE_VIEW_SECONDS
         )
 
-    def _alone(self) -> bool:
-        """Say whether this node has met so few that many like it might lend at the same time.
+    def _knows_too_few(self) -> bool:
+        """Return whether this node knows so few others that many like it might lend at once.
 
-        Failure: all nodes restart at once, and each thinks for a moment that it is alone.
+        Failure: all nodes restart at the same time, and each believes for a moment that it is
+        alone.
         """
         return (
             self.ledger.reachable_share < MIN_REACHABLE_SHARE
