--- a/dunlinsaddle/routes/__init__.py
+++ b/dunlinsaddle/routes/__init__.py
@@ -1,1 +1,1 @@
-"""The routing configuration: which request goes to which service, and under what terms."""
+"""The routing configuration: which service handles a request, and under which limits."""
--- a/dunlinsaddle/routes/models.py
+++ b/dunlinsaddle/routes/models.py
@@ -1,32 +1,32 @@
-"""Typed routing configuration. Times in seconds, sizes in bytes."""
+"""Types of the routing configuration. Times are in seconds, sizes in bytes."""
 
 from typing import NamedTuple
 
 
 class WeightedService(NamedTuple):
-    """A service of a route, and its weight among the route's services."""
+    """A service of a route and its weight among the route's services."""
 
     service: str
     weight: float
 
 
 class Route(NamedTuple):
-    """One route: what it matches, and the terms of the requests on it."""
+    """A route: the requests that it matches, and how they are handled."""
 
     name: str
     host: str  #: in lower case, without a port
     prefix: str  #: begins and ends with a slash
     idempotent: bool
-    timeout: float | None  #: the longest that a caller is kept waiting
-    latency_objective: float | None  #: an answer within it earns its full worth
-    max_attempts: int  #: targets that one request may be sent to
+    timeout: float | None  #: longest time that a caller waits for an answer
+    latency_objective: float | None  #: an answer within this time has its full value
+    max_attempts: int  #: number of targets that one request may be sent to
     priority: int  #: 0 is the highest
     weighted_services: tuple[WeightedService, ...]
     public: bool = False  #: open to requests without a key
 
 
 class ServiceSettings(NamedTuple):
-    """What the operators say of a service."""
+    """The operators' settings for a service."""
 
     name: str
     health_path: str
@@ -34,23 +34,23 @@
 
 
 class Quota(NamedTuple):
-    """How many requests of an organisation may run, over all instances."""
+    """How many requests of an organisation may run, summed over all instances."""
 
     rate: float  #: requests a second
-    burst: float  #: further requests at once
+    burst: float  #: further requests that may arrive at once
 
 
 class Organisation(NamedTuple):
-    """Who may call, by digests of its keys: no copy of a key is held in this form."""
+    """An organisation that may call; its keys are held as digests only."""
 
     name: str
     key_digests: frozenset[bytes]
-    priority: int | None = None  #: goes before that of the routes; 0 is the highest
+    priority: int | None = None  #: overrides the priority of routes; 0 is the highest
     quota: Quota | None = None  #: None for no limit
 
 
 class Limits(NamedTuple):
-    """What callers may send, and how long they may take."""
+    """Limits on the size and duration of callers' requests."""
 
     header_bytes: int = 16_384
     body_bytes: int = 1 << 20
@@ -59,10 +59,10 @@
 
 
 class Configuration(NamedTuple):
-    """One whole configuration. A higher version replaces a lower one."""
+    """A complete configuration. A higher version replaces a lower one."""
 
     version: int
     routes: tuple[Route, ...]
     services: dict[str, ServiceSettings]
     limits: Limits
-    organisations: tuple[Organisation, ...] = ()  #: none: no request needs a key
+    organisations: tuple[Organisation, ...] = ()  #: if empty, no request needs a key
