--- a/dunlinsaddle/access/lender_client.py
+++ b/dunlinsaddle/access/lender_client.py
@@ -8,7 +8,7 @@
 from dunlinsaddle.policy.quota import Granted, QuotaDecision, RetryLater
 from typing import Any, Protocol
 
-#: Seconds after which a request is sent again: datagrams get lost, and an answer takes a few
+#: Seconds after which a question is sent once more: datagrams get lost, and an answer takes some
 #: milliseconds.
 RESEND_SECONDS = 0.06
 #: Seconds after the latest request for which a lender's silence is meaningful.
@@ -58,7 +58,7 @@
         )
         fut: asyncio.Future[QuotaResponse | None] = self.loop.create_future()
         self._pending[number] = fut
-        self._record_asked(lender)
+        self._note_asked(lender)
         self.peers.send(lender, ask)
         resend_timer = self.loop.call_later(RESEND_SECONDS, self.peers.send, lender, ask)
         timeout_timer = self.loop.call_later(timeout, _give_up, fut)
@@ -89,7 +89,7 @@
         return self._since_asked(instance) < SILENCE_VALID_SECONDS
 
     def probe(self, instance: str) -> None:
-        """Start to check whether a silent node answers again, without waiting for the result."""
+        """Look whether a silent node is back, without waiting for it."""
         if self._since_asked(instance) >= PROBE_INTERVAL_SECONDS:
             self.spawn(self._send_probe(instance))
 
@@ -102,7 +102,7 @@
     async def _send_probe(self, instance: str) -> None:
         await self.ask(instance, '', PROBE_TIMEOUT_SECONDS, relayed=True)
 
-    def _record_asked(self, lender: str) -> None:
+    def _note_asked(self, lender: str) -> None:
         now = self.now()
         self.queries_sent += 1
         if not self.was_asked_recently(lender):
--- a/dunlinsaddle/access/peers.py
+++ b/dunlinsaddle/access/peers.py
@@ -1,10 +1,12 @@
 """The gossip as the transport and membership view of the quota protocol."""
+
 from collections.abc import Callable
+from typing import Any
+
 from dunlinsaddle.loops import OnLoop
 from dunlinsaddle.membership.agent import GossipAgent
 from dunlinsaddle.membership.messages import QuotaMessage
 from dunlinsaddle.membership.view import MemberView, State
-from typing import Any
 
 #: Seconds for which a dead node counts as one that may still lend beyond a network partition.
 #: After that it counts as gone, and the other nodes lend its part.
@@ -44,8 +46,8 @@
 
     def _count_recently_dead(self) -> int:
         now = self.now()
-        departed = self.agent.gossip.tombstones
+        tombstones = self.agent.gossip.tombstones
         return sum(
-            m.state is State.DEAD and departed.age(now, m.instance) < RECENTLY_DEAD_SECONDS
-            for m in departed.members()
+            m.state is State.DEAD and tombstones.age(now, m.instance) < RECENTLY_DEAD_SECONDS
+            for m in tombstones.members()
         )
--- a/dunlinsaddle/routes/config_follower.py
+++ b/dunlinsaddle/routes/config_follower.py
@@ -3,22 +3,37 @@
 A few nodes of each failure domain watch the store. Every gossip message carries the configuration
 version of its sender, and a node that receives a newer version fetches it from that sender.
 """
+
 import asyncio
 import logging
 import math
 from collections.abc import Callable
+from random import Random
+from typing import Any
+
+from result import Err, Ok, Result
+
 from dunlinsaddle.access.configuration_lease import ConfigurationLease
 from dunlinsaddle.calls.link import PeerLinks
-from dunlinsaddle.calls.messages import MAX_TIMEOUT_SECONDS, RecordFrame, RecordsRequest, RecordsResponse
+from dunlinsaddle.calls.messages import (
+    MAX_TIMEOUT_SECONDS,
+    RecordFrame,
+    RecordsRequest,
+    RecordsResponse,
+)
 from dunlinsaddle.loops import Backoff, OnLoop
 from dunlinsaddle.membership.view import Member
-from dunlinsaddle.platform.store import JsonValue, Listing, ObjectStore, StoredObject, Unavailable, place_of
+from dunlinsaddle.platform.store import (
+    JsonValue,
+    Listing,
+    ObjectStore,
+    StoredObject,
+    Unavailable,
+    place_of,
+)
 from dunlinsaddle.records.models import RecordEntry
 from dunlinsaddle.routes.models import Configuration, Organisation
 from dunlinsaddle.routes.table import RouteTable
-from random import Random
-from result import Err, Ok, Result
-from typing import Any
 
 #: Duration of one watch. It bounds how long a change is missed if the answer to a watch is lost on
 #: an open connection, which cannot be detected otherwise. Shorter watches cost more calls: three
@@ -83,8 +98,8 @@
         #: Whether the store holds a configuration as new as this node's. False from the restore of
         #: an older copy until the operators have written the configuration again.
         self._store_is_current = True
-        self._store_reachable: bool | None = None
-        self._fetch_task: asyncio.Task[None] | None = None
+        self._reachable: bool | None = None
+        self._fetching: asyncio.Task[None] | None = None
 
     @property
     def version(self) -> int:
@@ -117,12 +132,12 @@
             watching = self.should_watch() and (now >= members_known_at or not self.version)
             if not watching and (self.version or now < wait_for_peers_until):
                 # The last known status of the store is outdated once this node watches again.
-                self._store_reachable = None
+                self._reachable = None
                 await asyncio.sleep(WATCH_CHECK_SECONDS * self.rng.uniform(0.5, 1.0))
                 continue
             # After a failure, start with a call that does not wait. A change may have been missed
             # on a closed connection, and a dead connection shows only when its answer is overdue.
-            wait = WATCH_TIMEOUT_SECONDS if self.store_version and self._store_reachable else 0.0
+            wait = WATCH_TIMEOUT_SECONDS if self.store_version and self._reachable else 0.0
             began = self.now()
             object_version = self._object_version
             match await self._watch(wait, grace):
@@ -167,13 +182,13 @@
 
     def handle_peer_version(self, member: Member, version: int) -> None:
         """Fetch a newer configuration from a peer; a failed fetch is retried on later gossip."""
-        if version <= self.version or self._fetch_task is not None:
+        if version <= self.version or self._fetching is not None:
             return
-        self._fetch_task = self.loop.create_task(self.ask_peer(member))
-        self._fetch_task.add_done_callback(self._fetch_done)
+        self._fetching = self.loop.create_task(self.ask_peer(member))
+        self._fetching.add_done_callback(self._fetched)
 
-    def _fetch_done(self, task: 'asyncio.Task[None]') -> None:
-        self._fetch_task = None
+    def _fetched(self, task: 'asyncio.Task[None]') -> None:
+        self._fetching = None
 
     async def _ask_random_peer(self) -> None:
         """Ask a random peer, so that a node that cannot reach the store stays up to date."""
@@ -247,11 +262,11 @@
         return version
 
     def _record_store_status(self, *, reachable: bool, why: str) -> None:
-        if reachable is self._store_reachable:
+        if reachable is self._reachable:
             return
-        is_first = self._store_reachable is None
-        self._store_reachable = reachable
-        if reachable and not is_first:
+        first = self._reachable is None
+        self._reachable = reachable
+        if reachable and not first:
             self.logger.info('store regained')
         elif not reachable:
             self.logger.warning('store lost', extra={'why': why})
--- a/dunlinsaddle/routes/lease_renewal.py
+++ b/dunlinsaddle/routes/lease_renewal.py
@@ -1,12 +1,14 @@
 """Renews the lease on a node's configuration with few calls to the store."""
+
 import asyncio
 import math
+from random import Random
+
 from dunlinsaddle.access.configuration_lease import ConfigurationLease
 from dunlinsaddle.loops import OnLoop
 from dunlinsaddle.membership.coordinators import StoreWatchers
 from dunlinsaddle.membership.view import Member, MemberView
 from dunlinsaddle.routes.config_follower import ConfigFollower
-from random import Random
 
 RENEWAL_INTERVAL_SECONDS = 0.25  #: between two checks whether and whom to ask
 #: Lease age in seconds from which the first watcher of a failure domain calls the store. It bounds
@@ -29,11 +31,10 @@
     """Renews the configuration lease by asking the store or other nodes.
 
     A renewal dates from the sending of its request. The watches, which wait for seconds on
-    purpose, are therefore of no use here, and a short call goes to the store besides. Its result
-    is passed on with its age to every node that asks. If the watchers' renewals are overdue, as
-    the store refuses only them, a node asks any other node, and sometimes the store itself: about
-    one node of a failure domain each round, whatever the size of the domain, so that a store in
-    trouble is not flooded.
+    purpose, are of no use here, and a short question goes to the store besides. Its answer is
+    passed on with its age to every node that asks. If the watchers' renewals are overdue, as the
+    store refuses just those, a node asks any other, and in turn the store: about one node of a
+    domain a round, however large it is, so that a store in trouble is not flooded.
     """
 
     def __init__(
@@ -51,7 +52,7 @@
         self.watchers = watchers
         self.instance = instance
         self.rng = rng
-        self._store_failed_at = -math.inf
+        self._refused_at = -math.inf
 
     async def run(self) -> None:
         """Renew the lease until cancelled, while the configuration requires keys."""
@@ -66,7 +67,7 @@
     async def _renew(self) -> None:
         if self._should_ask_store():
             if not await self.follower.poll_store():
-                self._store_failed_at = self.now()
+                self._refused_at = self.now()
             return
         age = self.configuration_lease.age
         if age >= OVERDUE_AGE_SECONDS:
@@ -77,7 +78,7 @@
             await self._ask(self.watchers.members()[:1])
 
     def _should_ask_store(self) -> bool:
-        if self.now() - self._store_failed_at < STORE_RETRY_SECONDS:
+        if self.now() - self._refused_at < STORE_RETRY_SECONDS:
             return False
         age = self.configuration_lease.age
         for index, member in enumerate(self.watchers.members()):
