--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -1,4 +1,4 @@
-"""Quotas hold over all nodes together, whatever dies, is cut off, late or lost."""
+"""Quotas hold over all nodes together, despite crashes, partitions, delays and lost messages."""
 
 import asyncio
 
@@ -10,72 +10,80 @@
 from dunlinsaddle.policy.quota import Granted, HashRing, QuotaLedger, RetryLater
 from dunlinsaddle.routes.models import Organisation, Quota
 from tests.clock import PausedClockTest
-from tests.fakes.lenders import SLACK, WINDOW, LendingFleet, most_within, organisation
+from tests.fakes.lenders import SLACK, WINDOW_SECONDS, QuotaFleet, build_organisation, max_in_window
 
 NODES = 82
-ORGANISATIONS = [organisation('large', 60.0), organisation('usual', 20.0), organisation('s', 1.6)]
-USE = 1 / 1.6  #: share of its quota that an organisation usually asks for
-LENGTH = 11.0  #: seconds of a run
+ORGANISATIONS = [
+    build_organisation('large', 60.0),
+    build_organisation('usual', 20.0),
+    build_organisation('s', 1.6),
+]
+USUAL_LOAD = 1 / 1.6  #: share of its quota that an organisation usually requests
+RUN_SECONDS = 11.0  #: duration of a run
 
 
 class QuotaRunTest(PausedClockTest):
     def run_fleet(self, scenario, *, seed=3, flood=(), nodes=NODES, orgs=ORGANISATIONS):
-        """Load all organisations, those of ``flood`` at four times their quota."""
+        """Run organisations at their usual load, those in ``flood`` at four times their quota."""
 
         async def run():
-            fleet = LendingFleet(nodes, seed, orgs)
-            watching = asyncio.ensure_future(fleet.tell_members())
+            fleet = QuotaFleet(nodes, seed, orgs)
+            refresh_task = asyncio.ensure_future(fleet.refresh_memberships())
             await asyncio.sleep(8)
             loads = [
-                fleet.load(o.name, o.quota.rate * (4.0 if o.name in flood else USE), LENGTH)
+                fleet.generate_load(
+                    o.name, o.quota.rate * (4.0 if o.name in flood else USUAL_LOAD), RUN_SECONDS
+                )
                 for o in orgs
             ]
             await asyncio.gather(scenario(fleet), *loads)
-            watching.cancel()
+            refresh_task.cancel()
             return fleet
 
         return self.run_paused(run())
 
 
-async def nothing(fleet):
-    """Let the run go on undisturbed."""
+async def no_faults(fleet):
+    """Scenario without any fault."""
 
 
-class UndisturbedTest(QuotaRunTest):
-    def test_next_to_nothing_within_the_limit_is_refused(self):
+class NoFaultTest(QuotaRunTest):
+    def test_hardly_any_request_within_the_quota_is_refused(self):
         for seed in (1, 2):
-            fleet = self.run_fleet(nothing, seed=seed)
-            asked = sum(map(len, fleet.asked.values()))
-            self.assertLessEqual(fleet.refused / asked, 0.002)
+            fleet = self.run_fleet(no_faults, seed=seed)
+            request_count = sum(map(len, fleet.requested_at.values()))
+            self.assertLessEqual(fleet.refused_count / request_count, 0.002)
 
-    def test_a_flood_gets_its_quota_and_no_more(self):
-        fleet = self.run_fleet(nothing, flood=('large', 'usual', 's'))
+    def test_flooding_organisation_gets_its_quota_and_no_more(self):
+        fleet = self.run_fleet(no_faults, flood=('large', 'usual', 's'))
         for org in ORGANISATIONS:
             self.assertLessEqual(fleet.excess(org.name), 0, org.name)
-            full = (org.quota.rate + org.quota.burst / WINDOW) * LENGTH
-            self.assertGreaterEqual(len(fleet.ran[org.name]), 0.9 * full, org.name)
+            full = (org.quota.rate + org.quota.burst / WINDOW_SECONDS) * RUN_SECONDS
+            self.assertGreaterEqual(len(fleet.served_at[org.name]), 0.9 * full, org.name)
 
-    def test_the_others_are_served_beside_a_flood_as_without_it(self):
-        fleet = self.run_fleet(nothing, flood=('large',))
+    def test_other_organisations_are_served_during_a_flood(self):
+        fleet = self.run_fleet(no_faults, flood=('large',))
         for name in ('usual', 's'):
-            self.assertGreaterEqual(len(fleet.ran[name]) / len(fleet.asked[name]), 0.95, name)
+            self.assertGreaterEqual(
+                len(fleet.served_at[name]) / len(fleet.requested_at[name]), 0.95, name
+            )
 
 
-class HarmTest(QuotaRunTest):
-    def test_few_are_refused_while_a_lender_dies(self):
-        # About as many organisations as nodes, as deployments have them.
-        orgs = [organisation(f'org{i}', 3.0) for i in range(NODES)]
+class FaultTest(QuotaRunTest):
+    def test_few_requests_are_refused_when_a_lender_crashes(self):
+        # Deployments have about as many organisations as nodes.
+        orgs = [build_organisation(f'org{i}', 3.0) for i in range(NODES)]
 
         async def scenario(fleet):
             await asyncio.sleep(4)
             fleet.kill(fleet.nodes['n000'].ring.lenders('org7')[0])
 
         fleet = self.run_fleet(scenario, orgs=orgs)
-        asked = sum(map(len, fleet.asked.values()))
-        self.assertLessEqual(fleet.refused / asked, 0.02)
+        request_count = sum(map(len, fleet.requested_at.values()))
+        self.assertLessEqual(fleet.refused_count / request_count, 0.02)
         self.assertLessEqual(max(fleet.excess(o.name) for o in orgs), 0)
 
-    def test_a_frozen_lender_that_wakes_lends_no_more_than_its_part(self):
+    def test_frozen_lender_that_resumes_does_not_exceed_the_quota(self):
         async def scenario(fleet):
             await asyncio.sleep(3)
             lenders = {fleet.nodes['n000'].ring.lenders(o.name)[0] for o in ORGANISATIONS}
@@ -86,7 +94,7 @@
         fleet = self.run_fleet(scenario, flood=('large', 'usual', 's'))
         self.assertLessEqual(max(fleet.excess(o.name) for o in ORGANISATIONS), 0)
 
-    def test_all_restart_inside_one_window(self):
+    def test_restart_of_all_nodes_within_one_window_does_not_exceed_the_quota(self):
         async def scenario(fleet):
             await asyncio.sleep(5)
             for name in fleet.names:
@@ -98,14 +106,15 @@
         fleet = self.run_fleet(scenario, flood=('large', 'usual', 's'))
         self.assertLessEqual(max(fleet.excess(o.name) for o in ORGANISATIONS), 0)
 
-    def test_both_sides_of_a_cut_lend_their_part(self):
+    def test_both_sides_of_a_partition_lend_only_their_share(self):
         async def scenario(fleet):
             await asyncio.sleep(2)
-            fleet.cut({name: i % 2 for i, name in enumerate(fleet.names)})
+            fleet.partition({name: i % 2 for i, name in enumerate(fleet.names)})
 
         fleet = self.run_fleet(scenario, flood=('large', 'usual', 's'))
         self.assertLessEqual(max(fleet.excess(o.name) for o in ORGANISATIONS), 0)
 
+    # The names in this test stay: derandomize seeds the examples from the source of the function.
     @settings(
         max_examples=6,
         deadline=None,
@@ -152,9 +161,9 @@
             loop = asyncio.get_running_loop()
             loop.call_later(1.5, fleet.frozen.difference_update, some)
         case 'cut':
-            fleet.cut(dict.fromkeys(some, 1))
+            fleet.partition(dict.fromkeys(some, 1))
         case 'heal':
-            fleet.cut({})
+            fleet.partition({})
         case 'restart-all':
             for name in fleet.names:
                 fleet.kill(name)
@@ -164,23 +173,23 @@
 
 
 class LedgerTest(TestCase):
-    def test_a_new_lender_begins_nearly_empty(self):
-        ledger = QuotaLedger(SLACK, WINDOW)
+    def test_new_lender_starts_with_a_nearly_empty_bucket(self):
+        ledger = QuotaLedger(SLACK, WINDOW_SECONDS)
         ledger.reset(100.0, [])
         quota = Quota(10.0, 50.0)
-        lent = [ledger.take(100.0, 'a', quota, is_first_lender=True) for _ in range(10)]
-        self.assertEqual(2, lent.count(Granted()))
+        decisions = [ledger.take(100.0, 'a', quota, is_first_lender=True) for _ in range(10)]
+        self.assertEqual(2, decisions.count(Granted()))
 
-    def test_one_that_kept_its_bucket_goes_on(self):
-        ledger = QuotaLedger(SLACK, WINDOW)
+    def test_lender_that_keeps_its_bucket_continues_from_it(self):
+        ledger = QuotaLedger(SLACK, WINDOW_SECONDS)
         quota = Quota(10.0, 50.0)
         ledger.take(100.0, 'a', quota, is_first_lender=True)
         ledger.reset(100.0, ['a'])
-        lent = [ledger.take(100.0, 'a', quota, is_first_lender=True) for _ in range(25)]
-        self.assertEqual(25, lent.count(Granted()))
+        decisions = [ledger.take(100.0, 'a', quota, is_first_lender=True) for _ in range(25)]
+        self.assertEqual(25, decisions.count(Granted()))
 
-    def test_what_did_not_run_is_given_back(self):
-        ledger = QuotaLedger(0.0, WINDOW)
+    def test_refund_makes_the_token_available_again(self):
+        ledger = QuotaLedger(0.0, WINDOW_SECONDS)
         ledger.reset(0.0, [])
         quota = Quota(1.0, 1.0)
         ledger.take(10.0, 'a', quota, is_first_lender=True)
@@ -188,32 +197,34 @@
         ledger.refund('a')
         self.assertEqual(Granted(), ledger.take(10.0, 'a', quota, is_first_lender=True))
 
-    def test_those_told_to_come_back_are_spread_over_the_refill(self):
-        ledger = QuotaLedger(0.0, WINDOW)
+    def test_retry_times_are_spread_over_the_refill(self):
+        ledger = QuotaLedger(0.0, WINDOW_SECONDS)
         ledger.reset(0.0, [])
         quota = Quota(10.0, 1.0)
         ledger.take(0.1, 'a', quota, is_first_lender=True)
         waits = [ledger.take(0.1, 'a', quota, is_first_lender=True).seconds for _ in range(3)]
         self.assertEqual([0.1, 0.2, 0.3], [round(w, 3) for w in waits])
 
-    def test_a_lower_limit_binds_at_once(self):
-        ledger = QuotaLedger(0.0, WINDOW)
+    def test_lowered_quota_applies_at_once(self):
+        ledger = QuotaLedger(0.0, WINDOW_SECONDS)
         ledger.reset(0.0, [])
         ledger.take(100.0, 'a', Quota(100.0, 100.0), is_first_lender=True)
-        lent = [ledger.take(100.0, 'a', Quota(1.0, 4.0), is_first_lender=True) for _ in range(10)]
-        self.assertEqual(2, lent.count(Granted()))
+        decisions = [
+            ledger.take(100.0, 'a', Quota(1.0, 4.0), is_first_lender=True) for _ in range(10)
+        ]
+        self.assertEqual(2, decisions.count(Granted()))
 
 
-class RingTest(TestCase):
-    def test_organisations_are_spread_over_the_nodes(self):
+class HashRingTest(TestCase):
+    def test_organisations_are_spread_evenly_over_the_nodes(self):
         ring = HashRing()
         ring.update(f'n{i}' for i in range(82))
-        first = [ring.lenders(f'org{i}')[0] for i in range(8200)]
-        most = max(first.count(name) for name in set(first))
-        self.assertLess(most, 250)
+        first_lenders = [ring.lenders(f'org{i}')[0] for i in range(8200)]
+        largest = max(first_lenders.count(name) for name in set(first_lenders))
+        self.assertLess(largest, 250)
         self.assertEqual(3, len(set(ring.lenders('org1'))))
 
-    def test_a_node_that_goes_moves_only_its_own(self):
+    def test_removed_node_moves_only_its_own_organisations(self):
         ring = HashRing()
         names = {f'n{i}' for i in range(20)}
         ring.update(names)
@@ -225,23 +236,23 @@
             else:
                 self.assertEqual(lenders[1], ring.lenders(org)[0])
 
-    def test_nobody_there(self):
+    def test_empty_ring_has_no_lenders(self):
         self.assertEqual([], HashRing().lenders('a'))
 
 
-class MostWithinTest(TestCase):
-    def test_windows_slide(self):
-        self.assertEqual(3, most_within([0, 4, 5, 8, 9.1], 5))
+class MaxInWindowTest(TestCase):
+    def test_window_slides(self):
+        self.assertEqual(3, max_in_window([0, 4, 5, 8, 9.1], 5))
 
 
 class UnlimitedTest(QuotaRunTest):
-    def test_no_limit_costs_no_message(self):
+    def test_organisation_without_quota_sends_no_messages(self):
         async def scenario(fleet):
-            fleet.messages = 0
-            free = Organisation('free', frozenset())
-            taken = await fleet.nodes['n000'].acquire(free)
-            self.assertIsInstance(taken, Ok)
-            fleet.free_messages = fleet.messages
+            fleet.message_count = 0
+            unlimited = Organisation('free', frozenset())
+            result = await fleet.nodes['n000'].acquire(unlimited)
+            self.assertIsInstance(result, Ok)
+            fleet.unlimited_message_count = fleet.message_count
 
         fleet = self.run_fleet(scenario, nodes=3)
-        self.assertEqual(0, fleet.free_messages)
+        self.assertEqual(0, fleet.unlimited_message_count)
