--- a/tests/test_restored_store.py
+++ b/tests/test_restored_store.py
@@ -1,4 +1,4 @@
-"""The store comes back from an older copy: its revisions go back and are given out again."""
+"""The store is restored from an older copy, so it assigns the same revisions again."""
 
 import asyncio
 
@@ -11,15 +11,17 @@
 from tests.mesh_case import SETTLE_SECONDS, MeshTest
 from tests.store_case import StoreCase
 
-IN_FORCE = 2.0  #: seconds within which a change has to be in force
-AWAY = 2.6  #: seconds for which the store answers nobody
-LONG = 6.0  #: seconds; longer than a watch, whose answer proves what held when it was sent
+EFFECTIVE_SECONDS = 2.0  #: within which a change must take effect
+OUTAGE_SECONDS = 2.6  #: for which the store answers no call
+#: Longer than one watch, whose answer renews the lease as of the sending of the watch.
+LONGER_THAN_WATCH_SECONDS = 6.0
 NAMES = ('a:front', 'b:deep', 'c:front', 'd:deep', 'e:front')
-ANSWER = 0.004  #: seconds for an answer of the store; with none, a loop without a pause never ends
+#: Delay of the store's answers; without one, a loop that does not pause would never end.
+ANSWER_DELAY_SECONDS = 0.004
 
 
 class Operator:
-    """Writes to the store itself, which answers it whatever it does to others."""
+    """Writes to the store directly, unaffected by the faults that other clients see."""
 
     def __init__(self, platform: Platform) -> None:
         self.platform = platform
@@ -28,7 +30,7 @@
         await self._write('config', 'main', build_configuration(version))
 
     async def spend_revisions(self, count: int) -> None:
-        """Write what nobody watches."""
+        """Advance the store's revision by writing objects that nobody watches."""
         for number in range(count):
             await self._write('other', f'o{number}', self.platform.revision)
 
@@ -41,8 +43,8 @@
 
 
 class ClientTest(StoreCase):
-    def test_a_change_behind_a_revision_that_was_given_out_again_is_not_missed(self):
-        """The counter has passed the watcher's revision before it asks again: no 410 tells it."""
+    def test_change_is_not_missed_when_its_revision_is_assigned_again(self):
+        """The store passes the watcher's revision before the next watch: it does not answer 410."""
 
         async def scenario(store, platform):
             operator = Operator(platform)
@@ -58,8 +60,8 @@
         self.assertEqual(['r23'], [held.value['version'] for held in listing.objects])
         self.assertEqual(Place(1, 8), place_of(listing.version))
 
-    def test_a_watch_that_is_refused_costs_one_call(self):
-        """All watchers of a store in trouble would ask twice, as its refusals tell a new epoch."""
+    def test_refused_watch_costs_one_call(self):
+        """A refusal names the new epoch: all watchers of a failing store might call it twice."""
 
         async def scenario(store, platform):
             since = (await store.list('config')).unwrap().version
@@ -71,8 +73,8 @@
 
         self.assertEqual((1, True), self.with_platform(scenario))
 
-    def test_a_write_on_the_condition_of_an_earlier_epoch_changes_nothing(self):
-        """Another writer's object has the revision that the first writer read, and is not its."""
+    def test_conditional_write_with_a_version_of_an_earlier_epoch_changes_nothing(self):
+        """Another writer's object has the same revision as the lost one that was read before."""
 
         async def scenario(store, platform):
             copy = platform.copy()
@@ -90,8 +92,8 @@
         self.assertEqual('theirs', held.value)
         self.assertEqual([Conflict(held)] * 2, [result.unwrap_err() for result in refused])
 
-    def test_a_listing_that_spans_the_return_is_listed_anew(self):
-        """The first pages are of objects that are gone, and the rest of those that are there."""
+    def test_listing_that_spans_the_restore_is_repeated(self):
+        """The first pages are from before the restore, the others from after it."""
 
         async def scenario(store, platform):
             for name in 'abc':
@@ -106,19 +108,19 @@
             platform.faults = {}
             return mixed, (await store.watch('records', mixed.version, 5.0)).unwrap()
 
-        mixed, anew = self.with_platform(scenario)
+        mixed, repeated = self.with_platform(scenario)
         self.assertIn('lost', [held.value for held in mixed.objects])
-        self.assertEqual(['a', 'b', 'c'], [held.name for held in anew.objects])
+        self.assertEqual(['a', 'b', 'c'], [held.name for held in repeated.objects])
 
 
 class RecordsTest(StoreCase):
-    def test_a_record_changed_after_the_return_is_in_force(self):
-        """Its revision is below that of the version held, which was lost with the store's."""
+    def test_record_changed_after_the_restore_takes_effect(self):
+        """The new revision is lower than the one that this node holds and the store has lost."""
 
         async def scenario(store, platform):
             await store.put('records', 'cut-orders', {'record': build_document()}, ABSENT)
             sync = build_record_sync(store)
-            platform.faults = {'delay': ANSWER}
+            platform.faults = {'delay': ANSWER_DELAY_SECONDS}
             copy = platform.copy()
             await Operator(platform).spend_revisions(6)
             held = (await store.get('records', 'cut-orders')).unwrap()
@@ -137,78 +139,78 @@
         self.assertEqual((None, 1.25), self.with_platform(scenario))
 
 
-class FollowTest(StoreCase):
-    def follow(self, scenario):
+class ConfigFollowerTest(StoreCase):
+    def run_follower(self, scenario):
         async def run(store, platform):
             async with running_follower(store) as follower:
                 return await scenario(platform, follower)
 
         return self.with_platform(run)
 
-    async def drill(self, platform: Platform) -> None:
-        """Follow r18 and r21, and come back from a copy that lacks r21 and all since r18."""
+    async def restore_older_copy(self, platform: Platform) -> None:
+        """Write r18 and r21, and restore a copy that lacks r21 and all writes since r18."""
         operator = Operator(platform)
         await operator.configure('r18')
         copy = platform.copy()
         await operator.spend_revisions(6)
         await operator.configure('r21')
-        await asyncio.sleep(IN_FORCE)
+        await asyncio.sleep(EFFECTIVE_SECONDS)
         platform.faults = {'down': True}
-        await asyncio.sleep(AWAY)
+        await asyncio.sleep(OUTAGE_SECONDS)
         platform.restore(copy)
-        platform.faults = {'delay': ANSWER}
+        platform.faults = {'delay': ANSWER_DELAY_SECONDS}
 
-    def test_a_change_made_after_the_store_came_back_older_is_in_force_in_time(self):
-        """Callers are served by old routes, as the new revision is below the one held."""
+    def test_change_made_after_the_restore_takes_effect_in_time(self):
+        """If revisions were compared, the old routes would stay: the new revision is lower."""
 
         async def scenario(platform, follower):
-            await self.drill(platform)
+            await self.restore_older_copy(platform)
             await Operator(platform).configure('r21')
-            await asyncio.sleep(IN_FORCE)
+            await asyncio.sleep(EFFECTIVE_SECONDS)
             await Operator(platform).configure('r23')
-            await asyncio.sleep(IN_FORCE)
+            await asyncio.sleep(EFFECTIVE_SECONDS)
             return follower.version
 
-        self.assertEqual(23, self.follow(scenario))
+        self.assertEqual(23, self.run_follower(scenario))
 
-    def test_a_store_that_came_back_older_is_not_asked_without_a_pause(self):
-        """The watchers take up a third of the store's rate until its counter is past theirs."""
+    def test_restored_store_is_not_called_without_a_pause(self):
+        """Watchers used a third of the store's capacity until its revision had passed theirs."""
 
         async def scenario(platform, follower):
-            await self.drill(platform)
-            await asyncio.sleep(IN_FORCE)
+            await self.restore_older_copy(platform)
+            await asyncio.sleep(EFFECTIVE_SECONDS)
             before = platform.reads
             await asyncio.sleep(10)
             return platform.reads - before
 
-        self.assertLess(self.follow(scenario), 10)
+        self.assertLess(self.run_follower(scenario), 10)
 
-    def test_a_copy_that_is_older_than_what_is_in_force_reverts_nothing(self):
-        """Callers are served by r18 until the operator has written r21 again."""
+    def test_restored_older_configuration_does_not_replace_the_newer_one(self):
+        """Requests would be routed by r18 until the operator writes r21 again."""
 
         async def scenario(platform, follower):
-            await self.drill(platform)
-            await asyncio.sleep(IN_FORCE)
+            await self.restore_older_copy(platform)
+            await asyncio.sleep(EFFECTIVE_SECONDS)
             return follower.version
 
-        self.assertEqual(21, self.follow(scenario))
+        self.assertEqual(21, self.run_follower(scenario))
 
-    def test_an_older_copy_proves_nothing(self):
-        """A key may be gone with what the store does not know: the lease must not run on."""
+    def test_older_copy_does_not_renew_the_lease(self):
+        """A configuration that the store has lost may revoke keys, so the lease must expire."""
 
         async def scenario(platform, follower):
-            await self.drill(platform)
-            await asyncio.sleep(LONG)
+            await self.restore_older_copy(platform)
+            await asyncio.sleep(LONGER_THAN_WATCH_SECONDS)
             age = follower.configuration_lease.age
             await Operator(platform).configure('r21')
-            await asyncio.sleep(IN_FORCE)
+            await asyncio.sleep(EFFECTIVE_SECONDS)
             return age, follower.configuration_lease.age
 
-        before, after = self.follow(scenario)
-        self.assertGreater(before, LONG)
-        self.assertLess(after, LONG)
+        before, after = self.run_follower(scenario)
+        self.assertGreater(before, LONGER_THAN_WATCH_SECONDS)
+        self.assertLess(after, LONGER_THAN_WATCH_SECONDS)
 
-    def test_changes_are_in_force_after_each_of_three_returns(self):
+    def test_changes_take_effect_after_each_of_three_restores(self):
         async def scenario(platform, follower):
             operator = Operator(platform)
             versions = []
@@ -220,32 +222,32 @@
                 platform.restore(copy)
                 await asyncio.sleep(0.5)
                 await operator.configure(f'r{10 * number + 5}')
-                await asyncio.sleep(IN_FORCE)
+                await asyncio.sleep(EFFECTIVE_SECONDS)
                 versions.append(follower.version)
             return versions
 
-        self.assertEqual([5, 15, 25], self.follow(scenario))
+        self.assertEqual([5, 15, 25], self.run_follower(scenario))
 
-    def test_a_store_that_keeps_no_history_is_not_asked_without_a_pause(self):
-        """Each watch is refused and lists at once: the watchers take up the store's rate."""
+    def test_store_without_history_is_not_called_without_a_pause(self):
+        """Each watch returns a listing at once, so watchers could use up the store's capacity."""
 
         async def scenario(platform, follower):
             await Operator(platform).configure('r18')
-            platform.faults = {'delay': ANSWER, 'no_history': True}
+            platform.faults = {'delay': ANSWER_DELAY_SECONDS, 'no_history': True}
             await asyncio.sleep(10)
-            asked = platform.reads
+            read_count = platform.reads
             await Operator(platform).configure('r23')
-            await asyncio.sleep(IN_FORCE)
-            return asked, follower.version
+            await asyncio.sleep(EFFECTIVE_SECONDS)
+            return read_count, follower.version
 
-        asked, version = self.follow(scenario)
-        self.assertLess(asked, 50)
+        read_count, version = self.run_follower(scenario)
+        self.assertLess(read_count, 50)
         self.assertEqual(23, version)
 
 
 class FleetTest(MeshTest):
-    def test_a_node_that_starts_from_the_copy_hears_what_is_in_force_from_its_peers(self):
-        """It takes r7 of the copy, whose version is above that of r9 in the epoch before."""
+    def test_node_that_starts_after_the_restore_gets_the_newer_configuration_from_peers(self):
+        """It reads r7 from the copy; its store version is above that of r9 in the earlier epoch."""
 
         async def scenario(mesh):
             copy = dict(mesh.store.objects), mesh.store.revision
@@ -257,27 +259,27 @@
             await asyncio.sleep(SETTLE_SECONDS)
             restarted = mesh.nodes['b'].follower.version
             await mesh.configure('r12')
-            await asyncio.sleep(IN_FORCE)
+            await asyncio.sleep(EFFECTIVE_SECONDS)
             return restarted, {node.follower.version for node in mesh.nodes.values()}
 
         self.assertEqual((9, {12}), self.run_mesh(scenario, targets=NAMES))
 
-    def test_a_new_node_finds_the_others_though_the_copy_holds_no_roster(self):
-        """It lists itself alone, knows no target, and refuses its callers until a keeper looks."""
+    def test_new_node_discovers_the_others_although_the_copy_has_no_roster(self):
+        """It would know no target and refuse its callers until a coordinator updates the roster."""
 
         async def scenario(mesh):
             await asyncio.sleep(60)
             mesh.store.restore({}, 0)
             await mesh.configure('r7')
-            await asyncio.sleep(IN_FORCE)
+            await asyncio.sleep(EFFECTIVE_SECONDS)
             node = await mesh.add_node('f', 'front', port=2000)
-            await asyncio.sleep(IN_FORCE)
+            await asyncio.sleep(EFFECTIVE_SECONDS)
             return len(node.view)
 
         self.assertEqual(6, self.run_mesh(scenario, targets=NAMES))
 
-    def test_nodes_that_the_store_turns_away_keep_up_through_the_return(self):
-        """Their peers' versions are of another epoch than the last that they heard themselves."""
+    def test_nodes_refused_by_the_store_stay_up_to_date_through_the_restore(self):
+        """The store versions of their peers are from another epoch than their own last one."""
 
         async def scenario(mesh):
             copy = dict(mesh.store.objects), mesh.store.revision
@@ -286,7 +288,7 @@
             mesh.nodes_without_store = {'a', 'c'}
             mesh.store.restore(*copy)
             await mesh.configure('r12')
-            await asyncio.sleep(IN_FORCE)
+            await asyncio.sleep(EFFECTIVE_SECONDS)
             return {node.follower.version for node in mesh.nodes.values()}
 
         self.assertEqual({12}, self.run_mesh(scenario, targets=NAMES))
--- a/tests/test_routes.py
+++ b/tests/test_routes.py
@@ -14,32 +14,32 @@
 
 
 class RouteTableTest(TestCase):
-    def table(self, *prefixes):
+    def build_table(self, *prefixes):
         routes = [build_route(prefix, prefix=prefix) for prefix in prefixes]
         return RouteTable(read_configuration(build_configuration(routes=routes)).unwrap())
 
-    def test_longest_prefix_that_begins_the_path_wins(self):
-        table = self.table('/a/', '/a/b/', '/')
-        found = {
+    def test_longest_matching_prefix_wins(self):
+        table = self.build_table('/a/', '/a/b/', '/')
+        matches = {
             path: table.find_route('h.example', path).name for path in ('/a/b/c', '/a/x', '/z')
         }
-        self.assertEqual({'/a/b/c': '/a/b/', '/a/x': '/a/', '/z': '/'}, found)
+        self.assertEqual({'/a/b/c': '/a/b/', '/a/x': '/a/', '/z': '/'}, matches)
 
-    def test_a_prefix_matches_whole_parts_of_the_path_only(self):
-        table = self.table('/a/b/')
+    def test_prefix_matches_whole_path_segments_only(self):
+        table = self.build_table('/a/b/')
         self.assertIsNone(table.find_route('h.example', '/a/bc'))
         self.assertIsNone(table.find_route('h.example', '/a/b'))
         self.assertIsNotNone(table.find_route('h.example', '/a/b/?q=/x/'))
 
-    def test_a_slash_in_the_query_is_no_part_of_the_path(self):
-        self.assertIsNone(self.table('/a/b/').find_route('h.example', '/a?x=/b/'))
+    def test_slash_in_the_query_is_not_part_of_the_path(self):
+        self.assertIsNone(self.build_table('/a/b/').find_route('h.example', '/a?x=/b/'))
 
-    def test_hosts_are_told_apart_without_case_or_port(self):
-        table = self.table('/a/')
+    def test_hosts_match_without_case_and_port(self):
+        table = self.build_table('/a/')
         self.assertIsNotNone(table.find_route('H.Example:8080', '/a/1'))
         self.assertIsNone(table.find_route('other.example', '/a/1'))
 
-    def test_services_of_a_split_are_chosen_by_weight(self):
+    def test_services_are_chosen_by_weight(self):
         rng = Random(1)
         weighted_services = (WeightedService('x', 90), WeightedService('y', 10))
         chosen = [choose_service(weighted_services, rng) for _ in range(2000)]
@@ -47,43 +47,45 @@
 
 
 class ReadConfigurationTest(TestCase):
-    def test_terms_are_decoded_into_seconds_and_words_of_ours(self):
-        route = build_route('r', kind='unsafe', timeout='1000ms', targetLatency='1.5s')
-        found = read_configuration(build_configuration(version='r12', routes=[route])).unwrap()
-        self.assertEqual(12, found.version)
-        (plain,) = found.routes
+    def test_route_settings_are_converted_to_internal_types(self):
+        resource = build_route('r', kind='unsafe', timeout='1000ms', targetLatency='1.5s')
+        configuration = read_configuration(
+            build_configuration(version='r12', routes=[resource])
+        ).unwrap()
+        self.assertEqual(12, configuration.version)
+        (route,) = configuration.routes
         self.assertEqual(
-            (False, 1.0, 1.5), (plain.idempotent, plain.timeout, plain.latency_objective)
+            (False, 1.0, 1.5), (route.idempotent, route.timeout, route.latency_objective)
         )
-        self.assertEqual((WeightedService('svc', 1.0),), plain.weighted_services)
-        self.assertEqual(15.0, found.limits.idle_timeout)
+        self.assertEqual((WeightedService('svc', 1.0),), route.weighted_services)
+        self.assertEqual(15.0, configuration.limits.idle_timeout)
 
-    def test_what_cannot_be_used_is_refused_whole(self):
-        good = build_configuration()
-        bad_route = build_configuration(routes=[build_route('r', kind='odd')])
+    def test_invalid_configuration_is_rejected_as_a_whole(self):
+        valid = build_configuration()
+        invalid_route = build_configuration(routes=[build_route('r', kind='odd')])
         for value in (
             None,
             [],
             {},
-            {**good, 'version': 7},
-            {**good, 'version': 'x7'},
-            {**good, 'resources': [{'resourceKind': 'routes'}]},
-            bad_route,
+            {**valid, 'version': 7},
+            {**valid, 'version': 'x7'},
+            {**valid, 'resources': [{'resourceKind': 'routes'}]},
+            invalid_route,
             build_configuration(routes=[build_route('r', timeout='soon')]),
             build_configuration(routes=[build_route('r', service=None)]),
         ):
             self.assertIsInstance(read_configuration(value), Err, value)
 
-    def test_unknown_fields_and_kinds_are_passed_over(self):
-        good = build_configuration(routes=[build_route('r', colour='red')])
-        good['resources'].append({'resourceKind': 'later', 'specification': 7})
-        self.assertIsInstance(read_configuration(good), Ok)
+    def test_unknown_fields_and_kinds_are_ignored(self):
+        valid = build_configuration(routes=[build_route('r', colour='red')])
+        valid['resources'].append({'resourceKind': 'later', 'specification': 7})
+        self.assertIsInstance(read_configuration(valid), Ok)
 
 
 class SilentStore(FakeStore):
-    """Never answers a watch that came while it was silent."""
+    """Never answers a watch that was started before ``silent_until``."""
 
-    silent_until = 0.5  #: of the paused clock, which starts at 0
+    silent_until = 0.5  #: seconds on the paused clock, which starts at 0
 
     async def watch(self, kind, since, timeout, grace=WATCH_GRACE):
         if asyncio.get_running_loop().time() < self.silent_until:
@@ -92,26 +94,26 @@
         return await super().watch(kind, since, timeout, grace)
 
 
-class CutStore(FakeStore):
-    """Cuts the watch that waits, hides a change from it, and is silent to the next call."""
+class DisconnectingStore(FakeStore):
+    """Ends the second watch without reporting a change, and does not answer the third."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.watches = 0
+        self.watch_count = 0
 
     async def watch(self, kind, since, timeout, grace=WATCH_GRACE):
-        self.watches += 1
-        if self.watches == 2:
+        self.watch_count += 1
+        if self.watch_count == 2:
             await asyncio.sleep(1.0)
             return Err(Unavailable('the connection ended'))
-        if self.watches == 3:
+        if self.watch_count == 3:
             await asyncio.sleep(timeout + grace)
             return Err(Unavailable('no answer in time'))
         return await super().watch(kind, since, timeout, grace)
 
 
-class FollowTest(PausedClockTest):
-    def follow(self, scenario, store=None):
+class ConfigFollowerTest(PausedClockTest):
+    def run_follower(self, scenario, store=None):
         store = store or FakeStore()
 
         async def run():
@@ -120,57 +122,57 @@
 
         return self.run_paused(run())
 
-    def test_a_change_is_in_force_at_once(self):
+    def test_change_takes_effect_at_once(self):
         async def scenario(store, follower):
-            held = (await store.put('config', 'main', build_configuration('r3'), 0)).unwrap()
+            stored = (await store.put('config', 'main', build_configuration('r3'), 0)).unwrap()
             await asyncio.sleep(0.2)
             first = follower.version
-            await store.put('config', 'main', build_configuration('r9'), held.version)
+            await store.put('config', 'main', build_configuration('r9'), stored.version)
             await asyncio.sleep(0.2)
             return first, follower.version
 
-        self.assertEqual((3, 9), self.follow(scenario))
+        self.assertEqual((3, 9), self.run_follower(scenario))
 
-    def test_an_older_or_unreadable_configuration_changes_nothing(self):
-        # The store answers with old data, or another writer spoils the object: callers are
-        # served by the last good configuration, which is the highest that was ever read.
+    def test_older_or_invalid_configuration_is_ignored(self):
+        # The store returns old data, or another writer breaks the object. The last valid
+        # configuration, which has the highest version read so far, must stay in force.
         async def scenario(store, follower):
-            held = (await store.put('config', 'main', build_configuration('r9'), 0)).unwrap()
+            stored = (await store.put('config', 'main', build_configuration('r9'), 0)).unwrap()
             await asyncio.sleep(0.2)
             for value in (build_configuration('r8'), {'version': 'r20'}, 7):
-                held = (await store.put('config', 'main', value, held.version)).unwrap()
+                stored = (await store.put('config', 'main', value, stored.version)).unwrap()
                 await asyncio.sleep(0.2)
             return follower.version
 
-        self.assertEqual(9, self.follow(scenario))
+        self.assertEqual(9, self.run_follower(scenario))
 
-    def test_a_store_that_takes_calls_and_says_nothing_holds_up_no_fresh_node(self):
-        # The node starts while the store is silent: its first call is never answered. Two
-        # seconds after the store is back the node has its configuration, though that call
-        # still waits for an answer.
+    def test_new_node_is_not_held_up_by_a_store_that_did_not_answer(self):
+        # The node starts while the store accepts calls without answering them, so its first call
+        # is never answered. It must have its configuration two seconds after the store answers
+        # again, although that first call would still be waiting.
         async def scenario(store, follower):
             await store.put('config', 'main', build_configuration('r4'), 0)
             await asyncio.sleep(2.5)
             return follower.version
 
-        self.assertEqual(4, self.follow(scenario, SilentStore()))
+        self.assertEqual(4, self.run_follower(scenario, SilentStore()))
 
-    def test_a_change_missed_by_a_cut_watch_is_in_force_soon_though_the_next_call_is_silent(self):
-        # The store forgets its history: watches hear nothing for a second, while a change is
-        # made, and are cut. The next call goes out on a connection that has gone silent. Were
-        # it a watch as long as usual, the old routes would be in force for five seconds more.
+    def test_change_missed_by_a_closed_watch_takes_effect_although_the_next_call_hangs(self):
+        # The store drops its history: watches report nothing for a second, while a change is made,
+        # and are closed. The next call is sent on a dead connection. If it were a watch of the
+        # usual duration, the old routes would stay in force for five more seconds.
         async def scenario(store, follower):
-            held = (await store.put('config', 'main', build_configuration('r4'), 0)).unwrap()
+            stored = (await store.put('config', 'main', build_configuration('r4'), 0)).unwrap()
             await asyncio.sleep(0.5)
-            await store.put('config', 'main', build_configuration('r6'), held.version)
+            await store.put('config', 'main', build_configuration('r6'), stored.version)
             await asyncio.sleep(3.0)
             return follower.version
 
-        self.assertEqual(6, self.follow(scenario, CutStore()))
+        self.assertEqual(6, self.run_follower(scenario, DisconnectingStore()))
 
-    def test_a_change_made_in_an_outage_is_in_force_within_two_seconds_of_its_end(self):
-        # The store is down for long; a change is made just as it returns. The node must not
-        # wait out a long pause between two tries.
+    def test_change_made_in_an_outage_takes_effect_within_two_seconds_of_its_end(self):
+        # The store is down for a long time, and a change is made just as it returns. The backoff
+        # between two calls must not have grown beyond the time limit for changes.
         async def scenario(store, follower):
             store.down = True
             await asyncio.sleep(60)
@@ -179,4 +181,4 @@
             await asyncio.sleep(2)
             return follower.version
 
-        self.assertEqual(4, self.follow(scenario))
+        self.assertEqual(4, self.run_follower(scenario))
