--- a/dunlinsaddle/admin.py
+++ b/dunlinsaddle/admin.py
@@ -10,9 +10,9 @@
 from result import Err, Ok, Result
 
 from dunlinsaddle.calls.http import HttpRequest, HttpResponse, failure_response, json_response
-from dunlinsaddle.errors import ErrorKind, Failure, problem_of
-from dunlinsaddle.explain import Question
-from dunlinsaddle.operated import Operated
+from dunlinsaddle.errors import ErrorKind, Failure, problem_document
+from dunlinsaddle.explain import ExplainRequest
+from dunlinsaddle.managed_node import ManagedNode
 from dunlinsaddle.platform.store import Unavailable
 from dunlinsaddle.queries import explain_request, known_targets, node_status
 from dunlinsaddle.records.changes import (
@@ -28,7 +28,7 @@
 from dunlinsaddle.records.schema import encode_record
 
 MAX_CHANGE_BYTES = 65_536
-FACE_HEADER = (b'dunlinsaddle-face', b'operators')  #: tells this face from the other three
+LISTENER_HEADER = (b'dunlinsaddle-face', b'operators')  #: tells this face from the other three
 
 
 class ChangeBody(msgspec.Struct, forbid_unknown_fields=True):
@@ -50,17 +50,17 @@
     path: str
 
 
-class OperatorsFace:
+class OperatorHandler:
     """Answers operators who hold the token."""
 
-    def __init__(self, node: Operated, wall_clock: Callable[[], float] = time.time) -> None:
+    def __init__(self, node: ManagedNode, wall_clock: Callable[[], float] = time.time) -> None:
         self.node = node
         self.wall_clock = wall_clock
 
     async def handle(self, req: HttpRequest) -> HttpResponse:
         """Answer one request of an operator."""
         response = await self._answer(req)
-        return response._replace(headers=[*response.headers, FACE_HEADER])
+        return response._replace(headers=[*response.headers, LISTENER_HEADER])
 
     async def _answer(self, req: HttpRequest) -> HttpResponse:
         url = urlsplit(req.path)
@@ -109,7 +109,7 @@
             case ('GET', 'targets'):
                 return json_response(known_targets(self.node))
             case ('GET', 'metrics'):
-                return json_response(self.node.instruments.read())
+                return json_response(self.node.metrics.read())
             case ('GET', 'audit'):
                 return await self._audit(query.get('since', ['0'])[0])
             case ('GET', 'history', service):
@@ -288,7 +288,7 @@
             body = msgspec.json.decode(req.body, type=ExplainBody)
         except (msgspec.MsgspecError, UnicodeError, RecursionError) as exc:
             return failure_response(Failure(ErrorKind.MALFORMED_REQUEST, str(exc)))
-        question = Question(service=body.service, method=body.method, path=body.path)
+        question = ExplainRequest(service=body.service, method=body.method, path=body.path)
         explanation = explain_request(self.node, question)
         return _unknown(body.service) if explanation is None else json_response(explanation)
 
@@ -304,7 +304,7 @@
     response = failure_response(rejected.failure)
     if rejected.clash is None:
         return response
-    problem = msgspec.to_builtins(problem_of(rejected.failure))
+    problem = msgspec.to_builtins(problem_document(rejected.failure))
     body = msgspec.json.encode({**problem, 'conflict': rejected.clash._asdict()})
     return response._replace(body=body)
 
--- a/dunlinsaddle/pieces.py
+++ b/dunlinsaddle/batches.py
@@ -6,7 +6,9 @@
 T = TypeVar('T')
 
 
-def cut_pieces(items: Iterable[T], size_of: Callable[[T], int], limit: int) -> Iterator[list[T]]:
+def split_into_batches(
+    items: Iterable[T], size_of: Callable[[T], int], limit: int
+) -> Iterator[list[T]]:
     """Cut items into pieces of at most ``limit`` bytes; a larger item is a piece by itself.
 
     >>> list(cut_pieces(['aa', 'b', 'cccc'], len, 3))
--- a/dunlinsaddle/calls/accepted_connection.py
+++ b/dunlinsaddle/calls/accepted_connection.py
@@ -1,29 +1,13 @@
 """Server side of one HTTP/1.1 connection: reads requests and writes the responses in order."""
-
 import asyncio
 import math
 from collections import deque
 from collections.abc import Awaitable, Callable
-from typing import Protocol, cast
-
-from dunlinsaddle.calls.http import (
-    HOP_BY_HOP,
-    HttpLimits,
-    HttpRequest,
-    HttpResponse,
-    failure_response,
-)
-from dunlinsaddle.calls.http_codec import (
-    BODILESS_STATUSES,
-    BodyTooLarge,
-    HeadTooLarge,
-    MalformedMessage,
-    RequestMessage,
-    RequestReader,
-    encode_response,
-)
+from dunlinsaddle.calls.http import HOP_BY_HOP, HttpLimits, HttpRequest, HttpResponse, failure_response
+from dunlinsaddle.calls.http_codec import BODILESS_STATUSES, BodyTooLarge, HeadTooLarge, MalformedMessage, RequestMessage, RequestReader, encode_response
 from dunlinsaddle.calls.keepalive import enable_keepalive
 from dunlinsaddle.errors import ErrorKind, Failure
+from typing import Protocol, cast
 
 MAX_TARGET_BYTES = 8192  #: of a path with its query; RFC 9110, 4.1 asks for at least 8,000
 CONTINUE_RESPONSE = b'HTTP/1.1 100 Continue\r\n\r\n'
@@ -240,7 +224,7 @@
         self.has_sent_continue = False
         exchange = _Exchange(message.method, keep_alive=message.keep_alive)
         if len(message.target) > MAX_TARGET_BYTES:
-            self._refuse(Failure(ErrorKind.TARGET_TOO_LONG))
+            self._refuse(Failure(ErrorKind.URI_TOO_LONG))
             return
         if message.method == b'CONNECT':
             self._refuse(Failure(ErrorKind.METHOD_NOT_ALLOWED, 'CONNECT'))
--- a/dunlinsaddle/calls/call_state.py
+++ b/dunlinsaddle/calls/call_state.py
@@ -1,24 +1,16 @@
 """State of one call inside a node, and of the calls that the local target is running."""
-
 import asyncio
 import itertools
 import secrets
 from collections.abc import Callable
-from typing import NamedTuple
-
 from dunlinsaddle.calls.http import MIN_SERVER_ERROR_STATUS
-from dunlinsaddle.calls.messages import (
-    MAX_TIMEOUT_SECONDS,
-    Call,
-    Headers,
-    RelayedTargetState,
-    Reply,
-)
+from dunlinsaddle.calls.messages import Call, Headers, MAX_TIMEOUT_SECONDS, RelayedTargetState, Reply
 from dunlinsaddle.errors import Outcome
 from dunlinsaddle.policy.context import CallContext, Priority
 from dunlinsaddle.policy.retry import RetryAllowance
 from dunlinsaddle.records.models import Rank
 from dunlinsaddle.stats import Stats
+from typing import NamedTuple
 
 #: A random prefix and a counter make up a token: random bytes per call would cost a system call.
 _TOKEN_PREFIX = secrets.token_hex(8)
@@ -119,7 +111,7 @@
     that time is not known here.
     """
     if call.wait_time is not None and call.ctx.idempotent and reply.outcome is Outcome.DONE:
-        stats.added(max(elapsed - call.wait_time.seconds, 0.0))
+        stats.record_added_time(max(elapsed - call.wait_time.seconds, 0.0))
 
 
 class RunningCall:
--- a/dunlinsaddle/calls/client.py
+++ b/dunlinsaddle/calls/client.py
@@ -15,7 +15,7 @@
 from dunlinsaddle.calls.messages import Lost, NotSent
 from dunlinsaddle.calls.pool import MAX_REUSE_IDLE_SECONDS, ConnectionPool
 from dunlinsaddle.errors import ErrorKind
-from dunlinsaddle.loops import OnLoop
+from dunlinsaddle.loops import LoopBound
 from dunlinsaddle.settings import Address
 
 CONNECT_TIMEOUT_SECONDS = 1.0  #: a live target accepts a connection within milliseconds
@@ -35,7 +35,7 @@
     matches_request: ResponseMatcher
 
 
-class HttpClient(OnLoop):
+class HttpClient(LoopBound):
     """Sends requests, each on a connection of its own, and keeps intact connections for reuse.
 
     ``allow_close_delimited`` accepts responses whose body ends with the connection, for servers
--- a/dunlinsaddle/calls/crash_notifier.py
+++ b/dunlinsaddle/calls/crash_notifier.py
@@ -1,17 +1,15 @@
 """Exchange between nodes of requests that crashed a target."""
-
 import asyncio
 import logging
 from collections.abc import Callable, Iterable
-
 from dunlinsaddle.calls.link import PeerLinks
 from dunlinsaddle.calls.messages import TargetDeaths
-from dunlinsaddle.loops import OnLoop
+from dunlinsaddle.loops import LoopBound
 from dunlinsaddle.membership.view import Member
 from dunlinsaddle.policy.quarantine import Quarantine
 
 
-class CrashNotifier(OnLoop):
+class CrashNotifier(LoopBound):
     """Reports requests that crashed the local target to other nodes, and receives their reports.
 
     The caller of a request that crashed a target may retry it at once through any node. Only
--- a/dunlinsaddle/calls/decisions.py
+++ b/dunlinsaddle/calls/decisions.py
@@ -14,7 +14,7 @@
 from dunlinsaddle.calls.messages import Reply
 from dunlinsaddle.calls.target import AdvertisedState
 from dunlinsaddle.errors import Failure, Outcome
-from dunlinsaddle.loops import OnLoop
+from dunlinsaddle.loops import LoopBound
 from dunlinsaddle.policy.admission import Load
 from dunlinsaddle.policy.context import CallContext
 
@@ -54,7 +54,7 @@
 }
 
 
-class DecisionLog(OnLoop):
+class DecisionLog(LoopBound):
     """Logs decisions up to the limit of each event per second, and counts the omitted lines."""
 
     def __init__(self, logger: logging.Logger) -> None:
--- a/dunlinsaddle/calls/dispatch.py
+++ b/dunlinsaddle/calls/dispatch.py
@@ -1,8 +1,5 @@
 """Dispatch of a call to a target of its service, with resends to others where that is safe."""
-
 import asyncio
-from typing import TYPE_CHECKING, NamedTuple, Protocol
-
 from dunlinsaddle.calls.call_state import Attempt, PendingCall, build_call_frame
 from dunlinsaddle.calls.decisions import DecisionLog
 from dunlinsaddle.calls.execute import Executor
@@ -11,13 +8,14 @@
 from dunlinsaddle.calls.member_calls import to_candidates
 from dunlinsaddle.calls.messages import Lost, NotSent, RelayedTargetState, Reply, refusal
 from dunlinsaddle.errors import ErrorKind, Failure, Outcome
-from dunlinsaddle.loops import OnLoop
+from dunlinsaddle.loops import LoopBound
 from dunlinsaddle.membership.view import Member, MemberView
 from dunlinsaddle.policy.context import CallContext
 from dunlinsaddle.policy.quarantine import DEATHS_TO_QUARANTINE, Quarantine
 from dunlinsaddle.policy.retry import LOST_ANSWER_KINDS, REFUSED_BY_NODE, RetryAllowance, may_resend
 from dunlinsaddle.policy.route import Candidate, Router
 from dunlinsaddle.stats import Stats
+from typing import NamedTuple, Protocol, TYPE_CHECKING
 
 if TYPE_CHECKING:
     from dunlinsaddle.calls.idempotency import IdempotencyRouter
@@ -84,7 +82,7 @@
         return False
 
 
-class Dispatcher(OnLoop):
+class Dispatcher(LoopBound):
     """Chooses a target, sends the call to it, and spends the retry allowance on resends."""
 
     def __init__(
--- a/dunlinsaddle/calls/handlers.py
+++ b/dunlinsaddle/calls/handlers.py
@@ -1,40 +1,24 @@
 """HTTP handlers for requests of callers and of the local target."""
-
 import asyncio
-from collections.abc import Callable
-from typing import TypedDict
-
 import msgspec
 import uuid6
 import xxhash
-
-from dunlinsaddle.calls.call_state import (
-    PendingCall,
-    RunningCall,
-    RunningCalls,
-    WaitTime,
-    record_added_latency,
-)
+from collections.abc import Callable
+from dunlinsaddle.calls.call_state import PendingCall, RunningCall, RunningCalls, WaitTime, record_added_latency
 from dunlinsaddle.calls.dispatch import Dispatcher
-from dunlinsaddle.calls.http import (
-    HttpRequest,
-    HttpResponse,
-    failure_response,
-    forwarded_headers,
-    json_response,
-    response_from_reply,
-)
+from dunlinsaddle.calls.http import HttpRequest, HttpResponse, failure_response, forwarded_headers, json_response, response_from_reply
 from dunlinsaddle.calls.messages import Reply, refusal
 from dunlinsaddle.calls.target import LocalTarget
 from dunlinsaddle.errors import ErrorKind, Failure, Outcome
 from dunlinsaddle.policy.callers import ResendGuard
 from dunlinsaddle.policy.classify import classify
-from dunlinsaddle.policy.context import MAX_HOPS, CallContext, inherit_priority, priority_of
+from dunlinsaddle.policy.context import CallContext, MAX_HOPS, inherit_priority, priority_of
 from dunlinsaddle.policy.retry import RetryAllowance
 from dunlinsaddle.records.book import RecordBook
 from dunlinsaddle.records.models import Mode, RequestRule, ServiceRecord
-from dunlinsaddle.settings import read_address
+from dunlinsaddle.settings import parse_address
 from dunlinsaddle.stats import CallLabel, Stats
+from typing import TypedDict
 
 MAX_ID_LENGTH = 128  #: characters; common formats of request ids have 16 to 36
 KEYS_PATH = '/-/keys/'
@@ -108,7 +92,7 @@
         reply = refusal(failure) if failure else await self.dispatcher.dispatch(call)
         self._record_result(call, reply, request_name)
         label = CallLabel(record.service, rule.rank.name.lower(), reply.outcome.value, reply.kind)
-        self.stats.count(label)
+        self.stats.record_call(label)
         if reply.outcome is Outcome.UNKNOWN:
             self.on_unknown_outcome(call.ctx, reply.kind)
         record_added_latency(self.stats, call, reply, loop.time() - started_at)
@@ -234,7 +218,7 @@
     def _announce(self, req: HttpRequest) -> HttpResponse:
         try:
             announcement = msgspec.json.decode(req.body, type=Announcement)
-            address = read_address(announcement['address'])
+            address = parse_address(announcement['address'])
         except (msgspec.MsgspecError, ValueError) as exc:
             return failure_response(Failure(ErrorKind.MALFORMED_REQUEST, f'announcement: {exc}'))
         self.target.announce(announcement['service'], address)
--- a/dunlinsaddle/calls/link.py
+++ b/dunlinsaddle/calls/link.py
@@ -35,7 +35,7 @@
     Welcome,
 )
 from dunlinsaddle.errors import ErrorKind
-from dunlinsaddle.loops import OnLoop
+from dunlinsaddle.loops import LoopBound
 from dunlinsaddle.settings import Address
 
 #: How long after it last received data a link is used without a check, in seconds. A link with
@@ -158,7 +158,7 @@
             self.transport.abort()
 
 
-class PeerLinks(OnLoop):
+class PeerLinks(LoopBound):
     """Links to peers; each is opened on first use and shared by all calls to that peer."""
 
     def __init__(self, key: str, instance: str, limits: LinkLimits) -> None:
--- a/dunlinsaddle/calls/messages.py
+++ b/dunlinsaddle/calls/messages.py
@@ -6,7 +6,7 @@
 import msgspec
 from msgspec import Meta
 
-from dunlinsaddle.errors import ErrorKind, Failure, Outcome, problem_of
+from dunlinsaddle.errors import ErrorKind, Failure, Outcome, problem_document
 from dunlinsaddle.policy.admission import Load
 from dunlinsaddle.policy.context import MAX_HOPS, SLOTS_PER_RANK
 from dunlinsaddle.records.models import Rank, RecordEntry
@@ -153,7 +153,7 @@
         id=call_id,
         status=failure.rule.status,
         headers=headers,
-        body=msgspec.json.encode(problem_of(failure)),
+        body=msgspec.json.encode(problem_document(failure)),
         outcome=failure.outcome,
         kind=failure.kind.value,
         retry_after=failure.retry_after if failure.rule.retry_after else 0.0,
--- a/dunlinsaddle/cli/argtypes.py
+++ b/dunlinsaddle/cli/argtypes.py
@@ -7,14 +7,14 @@
 
 from dunlinsaddle.cli.exceptions import CommandError
 from dunlinsaddle.environment import Environment
-from dunlinsaddle.settings import SECRET_RULE, Address, read_address, read_secret
-from dunlinsaddle.status import ExitStatus
+from dunlinsaddle.exit_status import ExitStatus
+from dunlinsaddle.settings import SECRET_FORMAT, Address, parse_address, parse_secret
 
 
 def address_argument(name: str, text: str) -> Address:
     """Read an address, or end the command with what is allowed."""
     try:
-        return read_address(text)
+        return parse_address(text)
     except ValueError:
         raise CommandError(
             ExitStatus.USAGE, f'{name}: {text!r} cannot be used, expected HOST:PORT'
@@ -24,10 +24,10 @@
 def token_argument(name: str, text: str) -> str:
     """Read a token, or end the command; a wrong one is not shown."""
     try:
-        return read_secret(text)
+        return parse_secret(text)
     except ValueError:
         raise CommandError(
-            ExitStatus.USAGE, f'{name}: cannot be used, expected {SECRET_RULE}'
+            ExitStatus.USAGE, f'{name}: cannot be used, expected {SECRET_FORMAT}'
         ) from None
 
 
--- a/dunlinsaddle/cli/client.py
+++ b/dunlinsaddle/cli/client.py
@@ -6,15 +6,15 @@
 
 import msgspec
 
-from dunlinsaddle.admin import FACE_HEADER
+from dunlinsaddle.admin import LISTENER_HEADER
 from dunlinsaddle.calls.client import HttpClient
 from dunlinsaddle.calls.connection import Answered
 from dunlinsaddle.calls.http import HttpRequest, HttpResponse
 from dunlinsaddle.calls.messages import Headers
 from dunlinsaddle.cli.constants import REQUEST_TIMEOUT
 from dunlinsaddle.cli.exceptions import CommandError
+from dunlinsaddle.exit_status import ExitStatus
 from dunlinsaddle.settings import Address
-from dunlinsaddle.status import ExitStatus
 
 _STATUSES = {
     401: ExitStatus.DENIED,
@@ -48,7 +48,7 @@
         path = quote(path, safe='/?=&')
         req = HttpRequest(method, path, headers, body, '')
         response = asyncio.run(self._exchange(req))
-        if FACE_HEADER not in response.headers:
+        if LISTENER_HEADER not in response.headers:
             raise CommandError(
                 ExitStatus.UNAVAILABLE,
                 f"{self.address} is not a node's operators' face; check --node",
--- a/dunlinsaddle/cli/commands/apply.py
+++ b/dunlinsaddle/cli/commands/apply.py
@@ -8,7 +8,7 @@
 from dunlinsaddle.cli.client import NodeClient
 from dunlinsaddle.cli.commands.change import CHANGE_OPTIONS, ChangeCommand, stored_version
 from dunlinsaddle.cli.exceptions import CommandError
-from dunlinsaddle.status import ExitStatus
+from dunlinsaddle.exit_status import ExitStatus
 
 
 class _Planned(NamedTuple):
--- a/dunlinsaddle/cli/commands/change.py
+++ b/dunlinsaddle/cli/commands/change.py
@@ -9,7 +9,7 @@
 from dunlinsaddle.cli.constants import SEND_TRIES, USER_VARIABLE
 from dunlinsaddle.cli.definition import NODE_OPTIONS, NodeCommand
 from dunlinsaddle.cli.exceptions import CommandError
-from dunlinsaddle.status import ExitStatus
+from dunlinsaddle.exit_status import ExitStatus
 
 CHANGE_OPTIONS = [
     *NODE_OPTIONS,
--- a/dunlinsaddle/cli/commands/delete.py
+++ b/dunlinsaddle/cli/commands/delete.py
@@ -3,7 +3,7 @@
 from cleo.helpers import argument
 
 from dunlinsaddle.cli.commands.change import CHANGE_OPTIONS, ChangeCommand, stored_version
-from dunlinsaddle.status import ExitStatus
+from dunlinsaddle.exit_status import ExitStatus
 
 
 class DeleteCommand(ChangeCommand):
--- a/dunlinsaddle/cli/core.py
+++ b/dunlinsaddle/cli/core.py
@@ -24,7 +24,7 @@
 from dunlinsaddle.cli.queries.replay import BenchCommand, ReplayCommand
 from dunlinsaddle.cli.queries.trace import TraceCommand
 from dunlinsaddle.environment import Environment
-from dunlinsaddle.status import ExitStatus
+from dunlinsaddle.exit_status import ExitStatus
 
 COMMANDS: tuple[type[BaseCommand], ...] = (
     ApplyCommand,
@@ -58,7 +58,7 @@
     """Run one command; gives the exit status."""
     # The library would show the help of its own `list` here, whose name is ours.
     if argv in ([], ['help'], ['-h'], ['--help']):
-        env.stdout.write(overview(env.program))
+        env.stdout.write(overview(env.program_name))
         return ExitStatus.OK if argv else ExitStatus.USAGE
     app = Application('dunlinsaddle', __version__)
     app.auto_exits(False)
@@ -67,16 +67,16 @@
         app.add(command(env))
     try:
         return app.run(
-            ArgvInput([env.program, *argv]), StreamOutput(env.stdout), StreamOutput(env.stderr)
+            ArgvInput([env.program_name, *argv]), StreamOutput(env.stdout), StreamOutput(env.stderr)
         )
     except CleoError as exc:
         what = ' '.join(str(exc).split()).rstrip('.')
-        env.report(f'{what}; see {env.program} --help')
+        env.print_error(f'{what}; see {env.program_name} --help')
         return ExitStatus.USAGE
     except Exception as exc:
         if DEBUG_FLAG in argv:
             raise
-        env.report(f'a fault of this program: {exc!r}; run it with {DEBUG_FLAG} and report it')
+        env.print_error(f'a fault of this program: {exc!r}; run it with {DEBUG_FLAG} and report it')
         return ExitStatus.ERROR
 
 
--- a/dunlinsaddle/cli/definition.py
+++ b/dunlinsaddle/cli/definition.py
@@ -14,7 +14,7 @@
 from dunlinsaddle.cli.constants import DEFAULT_NODE, NODE_VARIABLE, TOKEN_VARIABLE
 from dunlinsaddle.cli.exceptions import CommandError
 from dunlinsaddle.environment import Environment
-from dunlinsaddle.status import ExitStatus
+from dunlinsaddle.exit_status import ExitStatus
 
 DEBUG_FLAG = '--debug'
 JSON_OPTION = option('json', None, 'Write one JSON document.')
@@ -40,7 +40,7 @@
         except CommandError as exc:
             if self.definition.has_option('debug') and self.option('debug'):
                 self.env.stderr.write(traceback.format_exc())
-            self.env.report(str(exc))
+            self.env.print_error(str(exc))
             return exc.status
 
     def work(self) -> ExitStatus:
--- a/dunlinsaddle/cli/exceptions.py
+++ b/dunlinsaddle/cli/exceptions.py
@@ -1,6 +1,6 @@
 """What ends a command early."""
 
-from dunlinsaddle.status import ExitStatus
+from dunlinsaddle.exit_status import ExitStatus
 
 
 class CommandError(Exception):
--- a/dunlinsaddle/cli/queries/audit.py
+++ b/dunlinsaddle/cli/queries/audit.py
@@ -6,7 +6,7 @@
 
 from dunlinsaddle.cli.argtypes import moment_argument
 from dunlinsaddle.cli.definition import NODE_OPTIONS, NodeCommand, moment, table
-from dunlinsaddle.status import ExitStatus
+from dunlinsaddle.exit_status import ExitStatus
 
 HEADINGS = ['WHEN', 'SERVICE', 'WHO', 'FROM', 'TO', 'CHANGED', 'WHY']
 
--- a/dunlinsaddle/cli/queries/failures.py
+++ b/dunlinsaddle/cli/queries/failures.py
@@ -9,7 +9,7 @@
 from dunlinsaddle.calls.decisions import Event
 from dunlinsaddle.cli.definition import JSON_OPTION, BaseCommand, table
 from dunlinsaddle.cli.queries.trace import log_files, read_events
-from dunlinsaddle.status import ExitStatus
+from dunlinsaddle.exit_status import ExitStatus
 
 HEADINGS = ['COUNT', 'OF', 'SERVICE', 'RULE', 'REASON']
 TARGET_FAILED = 'the target failed'
--- a/dunlinsaddle/cli/queries/nodes.py
+++ b/dunlinsaddle/cli/queries/nodes.py
@@ -3,7 +3,7 @@
 from cleo.helpers import argument
 
 from dunlinsaddle.cli.definition import NodeCommand, flat, table
-from dunlinsaddle.status import ExitStatus
+from dunlinsaddle.exit_status import ExitStatus
 
 
 class StatusCommand(NodeCommand):
--- a/dunlinsaddle/cli/queries/records.py
+++ b/dunlinsaddle/cli/queries/records.py
@@ -5,7 +5,7 @@
 
 from dunlinsaddle.cli.argtypes import document_argument, service_of
 from dunlinsaddle.cli.definition import NodeCommand, moment, table
-from dunlinsaddle.status import ExitStatus
+from dunlinsaddle.exit_status import ExitStatus
 
 
 class GetCommand(NodeCommand):
--- a/dunlinsaddle/cli/queries/replay.py
+++ b/dunlinsaddle/cli/queries/replay.py
@@ -7,11 +7,11 @@
 
 from dunlinsaddle.cli.definition import JSON_OPTION, BaseCommand, table
 from dunlinsaddle.cli.exceptions import CommandError
+from dunlinsaddle.exit_status import ExitStatus
 from dunlinsaddle.replay.bench import write_bench
 from dunlinsaddle.replay.report import Check, Figures, checks, figure_names, figures, shown
 from dunlinsaddle.replay.run import POLICIES, replay
 from dunlinsaddle.replay.trace import Trace, TraceError, read_trace
-from dunlinsaddle.status import ExitStatus
 
 TRACES = 'tests/traces'
 
@@ -37,7 +37,7 @@
         measured = figures(replay(trace, policy))
         found = checks(trace, policy, measured)
         self.show(_document(trace, policy, measured, found), _lines(trace, measured, found))
-        return ExitStatus.OK if all(c.met for c in found) else ExitStatus.NOT_MET
+        return ExitStatus.OK if all(c.met for c in found) else ExitStatus.EXPECTATION_NOT_MET
 
 
 class BenchCommand(BaseCommand):
@@ -58,7 +58,7 @@
         traces = [trace_argument(str(path)) for path in paths]
         out = Path(self.option('out'))
         missed = write_bench(traces, out, lambda line: self.env.stdout.write(f'{line}\n'))
-        return ExitStatus.NOT_MET if missed else ExitStatus.OK
+        return ExitStatus.EXPECTATION_NOT_MET if missed else ExitStatus.OK
 
 
 def trace_argument(path: str) -> Trace:
--- a/dunlinsaddle/cli/queries/trace.py
+++ b/dunlinsaddle/cli/queries/trace.py
@@ -10,7 +10,7 @@
 from dunlinsaddle.calls.decisions import Event
 from dunlinsaddle.cli.definition import JSON_OPTION, BaseCommand, table
 from dunlinsaddle.cli.exceptions import CommandError
-from dunlinsaddle.status import ExitStatus
+from dunlinsaddle.exit_status import ExitStatus
 
 HEADINGS = ['TIME', 'INSTANCE', 'DECISION', 'INPUTS']
 #: Fields that have a column of their own, or say nothing of the request.
--- a/dunlinsaddle/daemon.py
+++ b/dunlinsaddle/daemon.py
@@ -12,7 +12,7 @@
 from dunlinsaddle.settings import env_name
 
 
-def program(argv: list[str], env: Environment) -> int:
+def run_daemon(argv: list[str], env: Environment) -> int:
     """Run the daemon with these arguments; gives the exit status."""
     node_file = env.environ.get(env_name('node-file'))
     if node_file and not argv:
@@ -26,7 +26,7 @@
 
 def main() -> None:
     """Run the daemon as a process."""
-    sys.exit(program(sys.argv[1:], Environment(program='dunlinsaddled')))
+    sys.exit(run_daemon(sys.argv[1:], Environment(program_name='dunlinsaddled')))
 
 
 if __name__ == '__main__':
--- a/dunlinsaddle/environment.py
+++ b/dunlinsaddle/environment.py
@@ -1,33 +1,31 @@
 """What a program touches outside itself, handed down and never global."""
-
 import os
 import sys
 import time
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass, field
+from dunlinsaddle.membership.transport import TransportFactory, open_udp
 from random import Random
 from typing import TextIO
 
-from dunlinsaddle.membership.transport import TransportFactory, open_udp
-
 
 @dataclass
 class Environment:
     """Streams, variables, clock, randomness and datagrams of one run; tests build their own."""
 
-    program: str = 'dunlinsaddle'
+    program_name: str = 'dunlinsaddle'
     stdout: TextIO = field(default_factory=lambda: sys.stdout)
     stderr: TextIO = field(default_factory=lambda: sys.stderr)
     stdin: TextIO = field(default_factory=lambda: sys.stdin)
     environ: Mapping[str, str] = field(default_factory=lambda: os.environ)
     wall_clock: Callable[[], float] = time.time
     #: Seconds that go on while the machine is suspended, which the loop's clock leaves out.
-    lease_clock: Callable[[], float] = field(
+    boottime_clock: Callable[[], float] = field(
         default=lambda: time.clock_gettime(time.CLOCK_BOOTTIME)
     )
     rng: Random = field(default_factory=Random)
     open_gossip: TransportFactory = open_udp
 
-    def report(self, message: str) -> None:
+    def print_error(self, message: str) -> None:
         """Tell a person what went wrong, in one line."""
-        self.stderr.write(f'{self.program}: error: {message}\n')
+        self.stderr.write(f'{self.program_name}: error: {message}\n')
--- a/dunlinsaddle/errors.py
+++ b/dunlinsaddle/errors.py
@@ -21,7 +21,7 @@
 
     MALFORMED_REQUEST = 'malformed-request'
     REQUEST_TIMEOUT = 'request-timeout'
-    TARGET_TOO_LONG = 'uri-too-long'
+    URI_TOO_LONG = 'uri-too-long'
     HEADERS_TOO_LARGE = 'headers-too-large'
     BODY_TOO_LARGE = 'body-too-large'
     TOO_MANY_CONNECTIONS = 'too-many-connections'
@@ -65,7 +65,7 @@
     INTERNAL = 'internal'
 
 
-class AnswerRule(NamedTuple):
+class ResponseRule(NamedTuple):
     """How an error kind is answered.
 
     ``retry_after`` says whether the answer carries a Retry-After header; ``resend`` whether
@@ -81,19 +81,19 @@
 
 def _rule(
     status: int, outcome: Outcome, title: str, *, retry_after: bool = False, resend: bool = False
-) -> AnswerRule:
-    return AnswerRule(status, outcome, retry_after, resend, title)
+) -> ResponseRule:
+    return ResponseRule(status, outcome, retry_after, resend, title)
 
 
 _NOT_RUN = Outcome.NOT_RUN
 _UNKNOWN = Outcome.UNKNOWN
 _K = ErrorKind
 
-ANSWERS: dict[ErrorKind, AnswerRule] = {
+RESPONSE_RULES: dict[ErrorKind, ResponseRule] = {
     _K.MALFORMED_REQUEST: _rule(400, _NOT_RUN, 'The request is not well-formed HTTP.'),
     # Refused before it was read whole: with a key it may be a resend of one that ran.
     _K.REQUEST_TIMEOUT: _rule(408, _UNKNOWN, 'The request did not arrive in time.', resend=True),
-    _K.TARGET_TOO_LONG: _rule(414, _NOT_RUN, 'The request line is too long.'),
+    _K.URI_TOO_LONG: _rule(414, _NOT_RUN, 'The request line is too long.'),
     _K.HEADERS_TOO_LARGE: _rule(431, _NOT_RUN, 'The headers are too large.'),
     _K.BODY_TOO_LARGE: _rule(413, _NOT_RUN, 'The body is too large.'),
     _K.TOO_MANY_CONNECTIONS: _rule(
@@ -176,9 +176,9 @@
     retry_after: float = 0.0
 
     @property
-    def rule(self) -> AnswerRule:
+    def rule(self) -> ResponseRule:
         """The row of the table that answers this failure."""
-        return ANSWERS[self.kind]
+        return RESPONSE_RULES[self.kind]
 
     @property
     def outcome(self) -> Outcome:
@@ -197,7 +197,7 @@
     detail: str = ''
 
 
-def problem_of(failure: Failure) -> Problem:
+def problem_document(failure: Failure) -> Problem:
     """Give the problem document that answers a failure."""
     rule = failure.rule
     return Problem(
--- a/dunlinsaddle/status.py
+++ b/dunlinsaddle/exit_status.py
@@ -14,5 +14,5 @@
     NOT_FOUND = 5  #: no such record or instance
     UNAVAILABLE = 6  #: the node or the platform could not be reached
     DENIED = 7  #: the operator token was refused
-    NOT_MET = 8  #: a replay ran, but a stated outcome was not met
+    EXPECTATION_NOT_MET = 8  #: a replay ran, but a stated outcome was not met
     INTERRUPTED = 130  #: ended by Ctrl-C
--- a/dunlinsaddle/explain.py
+++ b/dunlinsaddle/explain.py
@@ -11,7 +11,7 @@
 from dunlinsaddle.records.models import ServiceRecord
 
 
-class Question(TypedDict):
+class ExplainRequest(TypedDict):
     """The request to explain."""
 
     service: str
@@ -35,7 +35,7 @@
 
 
 def explain(
-    question: Question,
+    question: ExplainRequest,
     record: ServiceRecord,
     members: Iterable[Member],
     router: Router,
--- a/dunlinsaddle/logs.py
+++ b/dunlinsaddle/logs.py
@@ -10,12 +10,13 @@
 
 from pythonjsonlogger.msgspec import MsgspecFormatter
 
-PIECE_BYTES = 4096  #: a pipe that is writable takes as much without blocking (PIPE_BUF)
-LINES_HELD = 2000  #: for a reader that has stopped; some seconds of a flood, under a megabyte
+MAX_WRITE_BYTES = 4096  #: a pipe that is writable takes as much without blocking (PIPE_BUF)
+#: Lines kept for a reader that has stopped: some seconds of a flood, less than a megabyte.
+MAX_BUFFERED_LINES = 2000
 RETRY_SECONDS = 0.1  #: between two looks whether a reader that has stopped reads again
 
 
-class PatientOutput:
+class NonBlockingStream:
     """A stream for log lines that writes only what the reader takes at once.
 
     A reader that stops fills the pipe, and a blocking write would stop the node with it: all
@@ -31,15 +32,15 @@
 
     def write(self, text: str) -> int:
         """Take text for later."""
-        if len(self._lines) >= LINES_HELD:
+        if len(self._lines) >= MAX_BUFFERED_LINES:
             self.dropped += 1
             return len(text)
-        if self.dropped and len(self._lines) < LINES_HELD // 2:
+        if self.dropped and len(self._lines) < MAX_BUFFERED_LINES // 2:
             self._lines.append(b'{"message": "log lines dropped", "count": %d}\n' % self.dropped)
             self.dropped = 0
         data = text.encode('utf-8', 'backslashreplace')
-        for start in range(0, len(data), PIECE_BYTES):
-            self._lines.append(data[start : start + PIECE_BYTES])
+        for start in range(0, len(data), MAX_WRITE_BYTES):
+            self._lines.append(data[start : start + MAX_WRITE_BYTES])
         return len(text)
 
     def flush(self) -> None:
@@ -75,8 +76,8 @@
         self.flush()
 
 
-def start_logs(
-    stream: 'TextIO | PatientOutput', level: str, *, instance: str, domain: str
+def create_logger(
+    stream: 'TextIO | NonBlockingStream', level: str, *, instance: str, domain: str
 ) -> logging.Logger:
     """Prepare the daemon's logger; each line names the instance and its failure domain.
 
--- a/dunlinsaddle/loops.py
+++ b/dunlinsaddle/loops.py
@@ -5,7 +5,7 @@
 from random import Random
 
 
-class OnLoop:
+class LoopBound:
     """An object of one loop, which it looks up once.
 
     Each look-up of the running loop asks the kernel for the process id, to notice a fork. A
@@ -27,17 +27,17 @@
 class Backoff:
     """Pauses between tries, in seconds: doubled each time up to a bound, and spread by chance."""
 
-    def __init__(self, first: float, most: float, rng: Random) -> None:
-        self.first = first
-        self.most = most
+    def __init__(self, initial_seconds: float, max_seconds: float, rng: Random) -> None:
+        self.initial_seconds = initial_seconds
+        self.max_seconds = max_seconds
         self.rng = rng
-        self.seconds = first  #: the next pause, at most
+        self.next_seconds = initial_seconds  #: the next pause, at most
 
     def reset(self) -> None:
         """Begin anew with the first pause."""
-        self.seconds = self.first
+        self.next_seconds = self.initial_seconds
 
     async def pause(self) -> None:
         """Wait before the next try."""
-        await asyncio.sleep(self.seconds * self.rng.uniform(0.5, 1.0))
-        self.seconds = min(self.seconds * 2, self.most)
+        await asyncio.sleep(self.next_seconds * self.rng.uniform(0.5, 1.0))
+        self.next_seconds = min(self.next_seconds * 2, self.max_seconds)
--- a/dunlinsaddle/operated.py
+++ b/dunlinsaddle/managed_node.py
@@ -17,7 +17,7 @@
 from dunlinsaddle.stats import Stats
 
 
-class Faces(NamedTuple):
+class ListenAddresses(NamedTuple):
     """The addresses that a node listens on."""
 
     callers: Address
@@ -27,12 +27,12 @@
     gossip: Address
 
 
-class Operated(Protocol):
+class ManagedNode(Protocol):
     """A node as its operators' face sees it."""
 
     settings: Settings
     logger: logging.Logger
-    faces: Faces
+    addresses: ListenAddresses
     store: ObjectStore
     book: RecordBook
     sync: RecordSync
@@ -41,6 +41,6 @@
     admission: Admission
     executor: Executor
     dispatcher: Dispatcher
-    once: IdempotencyRouter
-    instruments: Metrics
+    idempotency_router: IdempotencyRouter
+    metrics: Metrics
     stats: Stats
--- a/dunlinsaddle/memory.py
+++ b/dunlinsaddle/memory.py
@@ -2,10 +2,11 @@
 
 import gc
 
-YOUNG_OBJECTS = 10_000  #: new objects between two walks of the youngest; 700 by default
+#: New objects between two collections of the youngest generation. Python's default is 700.
+YOUNG_GENERATION_THRESHOLD = 10_000
 
 
-def spare_collector() -> None:
+def tune_garbage_collector() -> None:
     """Keep what was built at the start out of the garbage collector's walks.
 
     A walk of the oldest generation goes over every object of the imported modules, and all
@@ -13,4 +14,4 @@
     """
     gc.collect()
     gc.freeze()
-    gc.set_threshold(YOUNG_OBJECTS)
+    gc.set_threshold(YOUNG_GENERATION_THRESHOLD)
--- a/dunlinsaddle/mesh/daemon.py
+++ b/dunlinsaddle/mesh/daemon.py
@@ -3,23 +3,20 @@
 The process uses the event loop of ``uvloop``: a call through two nodes took 0.35 ms of processor
 time with it and 0.46 ms with asyncio's own, including all four HTTP endpoints.
 """
-
 import asyncio
 import os
 import signal
-from pathlib import Path
-
 import uvloop
-from result import Err, Ok, Result
-
 from dunlinsaddle.environment import Environment
-from dunlinsaddle.logs import PatientOutput, start_logs
-from dunlinsaddle.memory import spare_collector
+from dunlinsaddle.exit_status import ExitStatus
+from dunlinsaddle.logs import NonBlockingStream, create_logger
+from dunlinsaddle.memory import tune_garbage_collector
 from dunlinsaddle.mesh.node import MeshNode
 from dunlinsaddle.mesh.settings import MeshSettings
 from dunlinsaddle.platform.node_file import read_node_file
 from dunlinsaddle.settings import SettingError
-from dunlinsaddle.status import ExitStatus
+from pathlib import Path
+from result import Err, Ok, Result
 
 #: Interval of the checks for a changed settings file. A change must apply within twice that time.
 SETTINGS_POLL_SECONDS = 1.0
@@ -37,20 +34,20 @@
     """Run a node until it is stopped; with ``check`` only validate its settings."""
     match load_settings(path):
         case Err(error):
-            env.report(str(error))
+            env.print_error(str(error))
             return ExitStatus.USAGE
         case Ok(settings):
             return ExitStatus.OK if check else _run(env, path, settings)
 
 
 def _run(env: Environment, path: str, settings: MeshSettings) -> ExitStatus:
-    output = PatientOutput(env.stdout.fileno())
-    logger = start_logs(output, 'info', instance=settings.instance, domain=settings.domain)
+    output = NonBlockingStream(env.stdout.fileno())
+    logger = create_logger(output, 'info', instance=settings.instance, domain=settings.domain)
     try:
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
             return runner.run(_serve(MeshNode(settings, env, logger), path))
     except OSError as exc:
-        env.report(f'cannot listen: {exc}; change the address or stop the process that uses it')
+        env.print_error(f'cannot listen: {exc}; change the address or stop the process that uses it')
         return ExitStatus.ERROR
 
 
@@ -62,7 +59,7 @@
     loop.add_signal_handler(signal.SIGHUP, reload_settings, node, path)
     addresses = await node.start()
     addresses_by_name = {name: str(address) for name, address in addresses._asdict().items()}
-    spare_collector()
+    tune_garbage_collector()
     node.logger.info('listening', extra={'faces': addresses_by_name})
     watcher = loop.create_task(_watch_file(node, path))
     await stop.wait()
--- a/dunlinsaddle/mesh/level_gossip.py
+++ b/dunlinsaddle/mesh/level_gossip.py
@@ -1,11 +1,9 @@
 """Gossip of the level that the local target admits, sent while the target refuses requests."""
-
 import asyncio
-
-from dunlinsaddle.loops import OnLoop
+from dunlinsaddle.loops import LoopBound
 from dunlinsaddle.membership.agent import GossipAgent
 from dunlinsaddle.policy.context import LOWEST_LEVEL
-from dunlinsaddle.policy.level import STALE_AFTER_SECONDS, ChainLevels, ReportedLevel
+from dunlinsaddle.policy.level import ChainLevels, ReportedLevel, STALE_AFTER_SECONDS
 from dunlinsaddle.policy.slots import SlotAdmission
 
 #: Half of the time after which a learned level counts as stale, so that a node that misses one
@@ -16,7 +14,7 @@
 TRAILING_ROUNDS = 2
 
 
-class LevelGossip(OnLoop):
+class LevelGossip(LoopBound):
     """Sends the admitted level to other nodes, and records the levels that they send.
 
     Nodes also learn levels from replies. An ingress that gets few requests, or that refuses the
--- a/dunlinsaddle/mesh/metrics.py
+++ b/dunlinsaddle/mesh/metrics.py
@@ -3,15 +3,9 @@
 Histograms are plain counters with the label ``le``, read at each scrape: recording each call with
 an instrument took 17 us, a tenth of the time that a node spends on a call.
 """
-
 import asyncio
 import math
 from collections import Counter
-from typing import Protocol
-
-from opentelemetry.exporter.prometheus import PrometheusMetricReader
-from prometheus_client import CollectorRegistry, generate_latest
-
 from dunlinsaddle.access.configuration_lease import ConfigurationLease
 from dunlinsaddle.access.quotas import QuotaCoordinator
 from dunlinsaddle.calls.http import HttpRequest, HttpResponse, failure_response
@@ -20,7 +14,7 @@
 from dunlinsaddle.mesh.heartbeat_endpoint import HeartbeatEndpoint
 from dunlinsaddle.mesh.settings import MeshSettings
 from dunlinsaddle.mesh.target_status import TargetStatus
-from dunlinsaddle.metrics import Metrics, Values, cumulative, observe_stats
+from dunlinsaddle.metrics import LabeledValues, Metrics, cumulative_buckets, observe_stats
 from dunlinsaddle.platform.client import HttpObjectStore
 from dunlinsaddle.platform.store import ObjectStore, place_of
 from dunlinsaddle.policy.quota import QuotaLedger
@@ -28,6 +22,9 @@
 from dunlinsaddle.policy.slots import SlotAdmission
 from dunlinsaddle.routes.config_follower import ConfigFollower
 from dunlinsaddle.stats import LATENCY_BOUNDS, Stats
+from opentelemetry.exporter.prometheus import PrometheusMetricReader
+from prometheus_client import CollectorRegistry, generate_latest
+from typing import Protocol
 
 MAX_AGE_SECONDS = 86_400.0  #: upper bound of reported ages, as a gauge cannot be infinite
 #: Organisations in one metric; with a label for each, the metric would grow with the customers.
@@ -65,7 +62,7 @@
         self.registry.register(reader._collector)
         cfg = node.settings
         resource = {'service.name': 'dunlinsaddle', 'service.instance.id': cfg.instance}
-        self.metrics = Metrics(resource, further=[reader])
+        self.metrics = Metrics(resource, extra_readers=[reader])
         # The node's view of the cluster comes before the histograms: these few lines are kept by a
         # scraper that truncates the response.
         self._observe_cluster_view()
@@ -188,12 +185,12 @@
             lambda: [(node.quotas.lender_client.queries_sent, {})],
         )
 
-    def _load(self) -> Values:
+    def _load(self) -> LabeledValues:
         load = self.node.admission.load(_now())
         values = {'inflight': load.inflight, 'waiting': load.waiting, 'limit': load.limit}
         return [(value, {'of': name}) for name, value in values.items()]
 
-    def _ages(self) -> Values:
+    def _ages(self) -> LabeledValues:
         last_message_at = {'target': self.node.heartbeat_endpoint.last_heartbeat_at}
         match self.node.store:
             case HttpObjectStore(answered_at=answered_at):
@@ -203,25 +200,25 @@
         ]
 
 
-def _lowest_quotas(tokens: dict[str, float]) -> Values:
+def _lowest_quotas(tokens: dict[str, float]) -> LabeledValues:
     lowest = sorted(tokens.items(), key=lambda item: item[1])[:MAX_REPORTED_ORGANISATIONS]
     return [(left, {'organisation': name}) for name, left in lowest]
 
 
-def _latency_buckets(stats: Stats) -> Values:
+def _latency_buckets(stats: Stats) -> LabeledValues:
     return [
         pair
-        for hop, buckets in stats.latency.items()
-        for pair in cumulative(LATENCY_BOUNDS, buckets, hop=hop.value)
+        for hop, buckets in stats.latency_buckets.items()
+        for pair in cumulative_buckets(LATENCY_BOUNDS, buckets, hop=hop.value)
     ]
 
 
-def _members(view: MemberView) -> Values:
+def _members(view: MemberView) -> LabeledValues:
     counts = Counter(member.state.name.lower() for member in view.members())
     return [(count, {'state': state}) for state, count in counts.items()]
 
 
-def _failures(store: ObjectStore) -> Values:
+def _failures(store: ObjectStore) -> LabeledValues:
     match store:
         case HttpObjectStore(failures=failures):
             return [(count, {'why': why}) for why, count in failures.items()]
--- a/dunlinsaddle/mesh/node.py
+++ b/dunlinsaddle/mesh/node.py
@@ -1,13 +1,8 @@
 """A node on the users' platform: creates its components, connects them and runs their tasks."""
-
 import asyncio
 import contextlib
 import logging
 from collections.abc import Callable, Coroutine
-from functools import partial
-from random import Random
-from typing import TYPE_CHECKING, Any, NamedTuple
-
 from dunlinsaddle.access.authentication import Authenticator
 from dunlinsaddle.access.configuration_lease import ConfigurationLease
 from dunlinsaddle.access.peers import GossipPeers
@@ -26,7 +21,7 @@
 from dunlinsaddle.calls.peer_server import PeerServer
 from dunlinsaddle.calls.target import LocalTarget
 from dunlinsaddle.environment import Environment
-from dunlinsaddle.loops import OnLoop
+from dunlinsaddle.loops import LoopBound
 from dunlinsaddle.membership.agent import GossipAgent
 from dunlinsaddle.membership.coordinators import StoreWatchers
 from dunlinsaddle.membership.roster import Bootstrap, RosterStore
@@ -53,6 +48,9 @@
 from dunlinsaddle.routes.models import Configuration
 from dunlinsaddle.settings import Address
 from dunlinsaddle.stats import CallLabel, Hop, Stats
+from functools import partial
+from random import Random
+from typing import Any, NamedTuple, TYPE_CHECKING
 
 if TYPE_CHECKING:
     from dunlinsaddle.mesh.metrics import MeshMetrics
@@ -92,7 +90,7 @@
     metrics: Address
 
 
-class MeshNode(OnLoop):
+class MeshNode(LoopBound):
     """The node of one target of the platform."""
 
     def __init__(
@@ -135,7 +133,7 @@
         self.links = PeerLinks(PEER_KEY, cfg.instance, limits)
         self.peer_server = PeerServer(PEER_KEY, self._serve_peer, limits, self._on_peer_fault)
         self.configuration_lease = ConfigurationLease(
-            self.env.lease_clock, cfg.limits.revocation_seconds
+            self.env.boottime_clock, cfg.limits.revocation_seconds
         )
         self.follower = ConfigFollower(
             self.store,
@@ -396,8 +394,8 @@
 
     def _on_request_end(self, call: PendingCall, reply: Reply, elapsed: float) -> None:
         rank = call.ctx.priority.rank.name.lower()
-        self.stats.count(CallLabel(call.ctx.service, rank, reply.outcome.value, reply.kind))
-        self.stats.took(Hop.WHOLE, elapsed)
+        self.stats.record_call(CallLabel(call.ctx.service, rank, reply.outcome.value, reply.kind))
+        self.stats.record_latency(Hop.WHOLE, elapsed)
 
     async def _serve_peer(self, call: Call) -> Reply:
         self.target_status.restore(call.request_id, call.target_state)
--- a/dunlinsaddle/mesh/retries.py
+++ b/dunlinsaddle/mesh/retries.py
@@ -1,9 +1,8 @@
 """Decides which requests are sent to another target, within a shared retry budget."""
-
 from dunlinsaddle.calls.call_state import PendingCall
 from dunlinsaddle.calls.messages import Reply
 from dunlinsaddle.errors import ErrorKind, Outcome
-from dunlinsaddle.loops import OnLoop
+from dunlinsaddle.loops import LoopBound
 from dunlinsaddle.policy.retry import LOST_ANSWER_KINDS, REFUSED_BY_NODE, RetryAllowance
 from dunlinsaddle.policy.retry_budget import RetryBudget
 
@@ -28,7 +27,7 @@
         return 0
 
 
-class BudgetedRetries(OnLoop):
+class BudgetedRetries(LoopBound):
     """Retries calls that certainly did not run, and idempotent calls that were lost.
 
     A call that a node refused before it reached a target is retried without cost. All other
--- a/dunlinsaddle/mesh/target_status.py
+++ b/dunlinsaddle/mesh/target_status.py
@@ -1,17 +1,15 @@
 """Status that the local target announces with its responses: its rate limit and its departure."""
-
 import math
 from collections.abc import Callable
-
 from dunlinsaddle.calls.decisions import DecisionLog
 from dunlinsaddle.calls.messages import RelayedTargetState
-from dunlinsaddle.calls.target import NOTHING_ADVERTISED, AdvertisedState, LocalTarget
-from dunlinsaddle.loops import OnLoop
+from dunlinsaddle.calls.target import AdvertisedState, LocalTarget, NOTHING_ADVERTISED
+from dunlinsaddle.loops import LoopBound
 from dunlinsaddle.policy.rate import MIN_RATE
 from dunlinsaddle.policy.slots import SlotAdmission
 
 
-class TargetStatus(OnLoop):
+class TargetStatus(LoopBound):
     """Holds the latest status of the target and applies it to admission and routing.
 
     Responses can arrive out of order. A lower rate applies at once. A higher rate, or none,
--- a/dunlinsaddle/metrics.py
+++ b/dunlinsaddle/metrics.py
@@ -3,28 +3,25 @@
 A call pays for a few integer additions in ``Stats``; instruments are observed on the loop's
 own thread, for the operators' face or for an OTLP collector, so no count needs a lock.
 """
-
 import asyncio
 from collections.abc import Callable, Iterable, Mapping, Sequence
+from dunlinsaddle import __version__
+from dunlinsaddle.calls.idempotency import IdempotencyRouter
+from dunlinsaddle.records.book import RecordBook
+from dunlinsaddle.stats import QUEUE_TIME_BOUNDS, Stats
 from itertools import accumulate
-from typing import Any
-
 from opentelemetry.exporter.otlp.proto.http.metric_exporter import OTLPMetricExporter
 from opentelemetry.metrics import CallbackOptions, Observation
 from opentelemetry.sdk.metrics import MeterProvider
 from opentelemetry.sdk.metrics.export import InMemoryMetricReader, MetricReader, MetricsData
 from opentelemetry.sdk.resources import Resource
+from typing import Any
 
-from dunlinsaddle import __version__
-from dunlinsaddle.calls.idempotency import IdempotencyRouter
-from dunlinsaddle.records.book import RecordBook
-from dunlinsaddle.stats import QUEUE_BOUNDS, Stats
-
-EXPORT_SECONDS = 10.0  #: seconds between two exports, by judgement
-EXPORT_TIMEOUT = 5  #: seconds; half of the above, so that exports never overlap
+EXPORT_INTERVAL_SECONDS = 10.0  #: seconds between two exports, by judgement
+EXPORT_TIMEOUT_SECONDS = 5  #: seconds; half of the above, so that exports never overlap
 
 Labels = Mapping[str, str]
-Values = Iterable[tuple[float, Labels]]
+LabeledValues = Iterable[tuple[float, Labels]]
 
 
 class Metrics:
@@ -34,24 +31,28 @@
         self,
         resource: Labels,
         endpoint: str = '',
-        every: float = EXPORT_SECONDS,
-        further: Sequence[MetricReader] = (),
+        export_interval: float = EXPORT_INTERVAL_SECONDS,
+        extra_readers: Sequence[MetricReader] = (),
     ) -> None:
         self.endpoint = endpoint
-        self.every = every
+        self.export_interval = export_interval
         self.reader = InMemoryMetricReader()
         self._provider = MeterProvider(
-            [self.reader, *further], resource=Resource(dict(resource)), shutdown_on_exit=False
+            [self.reader, *extra_readers], resource=Resource(dict(resource)), shutdown_on_exit=False
         )
         self._meter = self._provider.get_meter('dunlinsaddle', __version__)
 
-    def counter(self, name: str, unit: str, text: str, read: Callable[[], Values]) -> None:
+    def counter(
+        self, name: str, unit: str, description: str, read: Callable[[], LabeledValues]
+    ) -> None:
         """Add a sum that only grows."""
-        self._meter.create_observable_counter(name, [_callback(read)], unit, text)
+        self._meter.create_observable_counter(name, [_callback(read)], unit, description)
 
-    def gauge(self, name: str, unit: str, text: str, read: Callable[[], Values]) -> None:
+    def gauge(
+        self, name: str, unit: str, description: str, read: Callable[[], LabeledValues]
+    ) -> None:
         """Add a value that goes up and down."""
-        self._meter.create_observable_gauge(name, [_callback(read)], unit, text)
+        self._meter.create_observable_gauge(name, [_callback(read)], unit, description)
 
     def read(self) -> dict[str, list[dict[str, Any]]]:
         """Give the value of each instrument by name, with its attributes."""
@@ -70,9 +71,9 @@
         """Send to the collector until cancelled; a lost export is made up by the next one."""
         if not self.endpoint:
             return
-        exporter = OTLPMetricExporter(endpoint=self.endpoint, timeout=EXPORT_TIMEOUT)
+        exporter = OTLPMetricExporter(endpoint=self.endpoint, timeout=EXPORT_TIMEOUT_SECONDS)
         while True:
-            await asyncio.sleep(self.every)
+            await asyncio.sleep(self.export_interval)
             data = self.reader.get_metrics_data()
             if isinstance(data, MetricsData):
                 # Observed here, sent there: only the waiting leaves the loop's thread.
@@ -89,7 +90,7 @@
         'dunlinsaddle.calls',
         '{call}',
         'Ended calls by service, rank, outcome and kind of refusal.',
-        lambda: [(count, label._asdict()) for label, count in stats.outcomes()],
+        lambda: [(count, label._asdict()) for label, count in stats.call_counts()],
     )
     metrics.counter(
         'dunlinsaddle.shed',
@@ -113,7 +114,7 @@
         'dunlinsaddle.queue_time_bucket',
         '{call}',
         'Calls that waited for a slot at most so many seconds, cumulative.',
-        lambda: cumulative(QUEUE_BOUNDS, stats.queue_buckets),
+        lambda: cumulative_buckets(QUEUE_TIME_BOUNDS, stats.queue_time_buckets),
     )
     sums = (
         ('retries', '{call}', 'Resends that were spent.'),
@@ -124,8 +125,8 @@
         ('answered', '{call}', 'Calls that the added time was taken of.'),
         ('faults', '{fault}', 'Faults of the node itself.'),
     )
-    for name, unit, text in sums:
-        metrics.counter(f'dunlinsaddle.{name}', unit, text, _field(stats, name))
+    for name, unit, description in sums:
+        metrics.counter(f'dunlinsaddle.{name}', unit, description, _field(stats, name))
 
 
 def observe_records(metrics: Metrics, book: RecordBook) -> None:
@@ -160,19 +161,21 @@
     )
 
 
-def cumulative(bounds: Iterable[float], buckets: Iterable[int], **labels: str) -> Values:
+def cumulative_buckets(
+    bounds: Iterable[float], buckets: Iterable[int], **labels: str
+) -> LabeledValues:
     """Give buckets as counts of all values up to each bound, which is the label ``le``."""
     names = [*map(str, bounds), '+Inf']
     totals = accumulate(buckets)
     return [(total, {'le': name, **labels}) for name, total in zip(names, totals, strict=True)]
 
 
-def _field(stats: Stats, name: str) -> Callable[[], Values]:
+def _field(stats: Stats, name: str) -> Callable[[], LabeledValues]:
     return lambda: [(getattr(stats, name), {})]
 
 
 def _callback(
-    read: Callable[[], Values],
+    read: Callable[[], LabeledValues],
 ) -> Callable[[CallbackOptions], Iterable[Observation]]:
     def observe(options: CallbackOptions) -> Iterable[Observation]:
         return [Observation(value, labels) for value, labels in read()]
--- a/dunlinsaddle/node.py
+++ b/dunlinsaddle/node.py
@@ -1,14 +1,9 @@
 """One node: wires the rooms together and runs their loops."""
-
 import asyncio
 import contextlib
 import logging
 import secrets
-from functools import partial
-from random import Random
-from typing import Any
-
-from dunlinsaddle.admin import OperatorsFace
+from dunlinsaddle.admin import OperatorHandler
 from dunlinsaddle.calls.call_state import RunningCalls, read_call_frame, record_added_latency
 from dunlinsaddle.calls.client import HttpClient
 from dunlinsaddle.calls.crash_notifier import CrashNotifier
@@ -28,12 +23,12 @@
 from dunlinsaddle.key_ownership.host_identity import host_identity
 from dunlinsaddle.key_ownership.local_ranges import LocalRangeUpdater, LocalService
 from dunlinsaddle.key_ownership.range_manager import MonotonicWallClock, RangeManager
+from dunlinsaddle.managed_node import ListenAddresses
 from dunlinsaddle.membership.agent import GossipAgent
 from dunlinsaddle.membership.liveness import TargetMonitor
 from dunlinsaddle.membership.roster import Bootstrap, RosterStore
 from dunlinsaddle.membership.view import Member, MemberView, State
-from dunlinsaddle.metrics import Metrics, Values, observe_keys, observe_records, observe_stats
-from dunlinsaddle.operated import Faces
+from dunlinsaddle.metrics import LabeledValues, Metrics, observe_keys, observe_records, observe_stats
 from dunlinsaddle.platform.client import HttpObjectStore
 from dunlinsaddle.platform.store import ObjectStore
 from dunlinsaddle.policy.admission import Admission
@@ -46,12 +41,17 @@
 from dunlinsaddle.records.sync import RecordSync
 from dunlinsaddle.settings import Settings
 from dunlinsaddle.stats import Stats
+from functools import partial
+from random import Random
+from typing import Any
 
-KEY_WINDOW = 900.0  #: seconds for which keys are remembered where no record says so
-WATCH_SECONDS = 0.25  #: seconds between two looks at the target; an announcement comes each second
-DRAIN_NOTICE = 1.0  #: seconds in which the news of leaving reaches the other nodes
+#: How long idempotency keys are remembered when no record sets it.
+DEFAULT_KEY_WINDOW_SECONDS = 900.0
+#: Interval of the target's liveness check. The target announces itself once a second.
+TARGET_CHECK_SECONDS = 0.25
+DRAIN_NOTICE_SECONDS = 1.0  #: seconds in which the news of leaving reaches the other nodes
 #: Listings hold many values of up to a megabyte.
-PLATFORM_BODY_BYTES = 1 << 26
+MAX_PLATFORM_BODY_BYTES = 1 << 26
 
 
 class Node:
@@ -68,7 +68,7 @@
         self.target = LocalTarget()
         self.running = RunningCalls()
         self.client = HttpClient(settings.max_body_bytes)
-        self.platform_client = HttpClient(PLATFORM_BODY_BYTES)
+        self.platform_client = HttpClient(MAX_PLATFORM_BODY_BYTES)
         self.store: ObjectStore = HttpObjectStore(settings.platform, self.platform_client)
         rng = Random(env.rng.random())
         self.agent = GossipAgent(self.view, settings.peer_key, rng, settings.seeds)
@@ -77,7 +77,9 @@
         self.links = PeerLinks(settings.peer_key, settings.instance, link_limits)
         self.admission = Admission()
         self.quarantine = Quarantine()
-        self.deaths = CrashNotifier(self.links, self.quarantine, self._warned_of_deaths, logger)
+        self.crash_notifier = CrashNotifier(
+            self.links, self.quarantine, self._warned_of_deaths, logger
+        )
         self.executor = Executor(
             self.target,
             self.admission,
@@ -86,7 +88,7 @@
             self.stats,
             self.quarantine,
             self._observes,
-            self.deaths.broadcast,
+            self.crash_notifier.broadcast,
         )
         self.target.on_start = self._target_started
         router = Router(settings.domain, Random(env.rng.random()), settings.instance)
@@ -102,18 +104,18 @@
         self._build_once(router)
         self._build_faces(link_limits)
         self.sync = self._build_sync()
-        self.instruments = self._build_instruments()
-        self.faces: Faces
+        self.metrics = self._build_metrics()
+        self.addresses: ListenAddresses
         self._tasks: set[asyncio.Task[None]] = set()
 
     def _build_once(self, router: Router) -> None:
-        me = Owner(self.settings.instance, secrets.token_hex(6))
+        owner = Owner(self.settings.instance, secrets.token_hex(6))
         clock = MonotonicWallClock(self.env.wall_clock)
         rng = Random(self.env.rng.random())
         horizon = int(self.settings.range_horizon * 1000)
         self.clock = clock
-        self.keeper = RangeManager(self.store, me, clock.now, rng, horizon)
-        self.once = IdempotencyRouter(
+        self.keeper = RangeManager(self.store, owner, clock.now, rng, horizon)
+        self.idempotency_router = IdempotencyRouter(
             self.keeper,
             self.view,
             router,
@@ -123,7 +125,7 @@
             rng,
             self._key_window,
         )
-        self.dispatcher.idempotency_router = self.once
+        self.dispatcher.idempotency_router = self.idempotency_router
         self.ranges = LocalRangeUpdater(self.keeper, self.view, self._served)
 
     def _served(self) -> LocalService:
@@ -131,7 +133,7 @@
 
     def _key_window(self, service: str) -> float:
         record = self.book.find(service)
-        return record.key_window if record else KEY_WINDOW
+        return record.key_window if record else DEFAULT_KEY_WINDOW_SECONDS
 
     def _build_faces(self, link_limits: LinkLimits) -> None:
         cfg = self.settings
@@ -143,22 +145,26 @@
             cfg.idle_timeout,
         )
         callers = CallerHandler(self.book, self.dispatcher, self.stats, self._outcome_unknown)
-        self.local = LocalTargetHandler(self.target, self.running, self.book, self.dispatcher)
-        operators = OperatorsFace(self, self.env.wall_clock)
-        self.callers_http = HttpListener(callers.handle, limits, self._fault)
-        self.local_http = HttpListener(self.local.handle, limits, self._fault)
-        self.operators_http = HttpListener(operators.handle, limits, self._fault)
+        self.local_handler = LocalTargetHandler(
+            self.target, self.running, self.book, self.dispatcher
+        )
+        operators = OperatorHandler(self, self.env.wall_clock)
+        self.callers_listener = HttpListener(callers.handle, limits, self._fault)
+        self.local_listener = HttpListener(self.local_handler.handle, limits, self._fault)
+        self.operators_listener = HttpListener(operators.handle, limits, self._fault)
         self.peer_server = PeerServer(cfg.peer_key, self._serve_peer, link_limits, self._peer_fault)
 
     def _build_sync(self) -> RecordSync:
         rng = Random(self.env.rng.random())
-        sync = RecordSync(self.book, self.store, self.view, self.links, self.me, rng, self.logger)
+        sync = RecordSync(
+            self.book, self.store, self.view, self.links, self.local_member, rng, self.logger
+        )
         self.peer_server.on_records = sync.take
-        self.peer_server.on_deaths = self.deaths.receive
-        self.peer_server.on_keys = partial(take_over_keys, self.once.tables)
+        self.peer_server.on_deaths = self.crash_notifier.receive
+        self.peer_server.on_keys = partial(take_over_keys, self.idempotency_router.tables)
         return sync
 
-    def _build_instruments(self) -> Metrics:
+    def _build_metrics(self) -> Metrics:
         cfg = self.settings
         resource = {
             'service.name': 'dunlinsaddle',
@@ -170,7 +176,7 @@
         observe_stats(metrics, self.stats)
         observe_records(metrics, self.book)
         metrics.gauge('dunlinsaddle.load', '{call}', 'Load of the target.', self._load_values)
-        observe_keys(metrics, self.once, lambda: self.target.service)
+        observe_keys(metrics, self.idempotency_router, lambda: self.target.service)
         metrics.counter(
             'dunlinsaddle.platform_calls',
             '{call}',
@@ -179,7 +185,7 @@
         )
         return metrics
 
-    def _load_values(self) -> Values:
+    def _load_values(self) -> LabeledValues:
         load = self.admission.load(asyncio.get_running_loop().time())
         return [(value, {'of': name}) for name, value in load._asdict().items()]
 
@@ -189,72 +195,74 @@
         self.keeper.store = store
         self.sync.store = store
 
-    async def start(self) -> Faces:
+    async def start(self) -> ListenAddresses:
         """Listen on all faces and start the loops. Raises OSError when an address is taken."""
         cfg = self.settings
-        self.faces = Faces(
-            await self.callers_http.listen(cfg.callers),
-            await self.local_http.listen(cfg.local),
+        self.addresses = ListenAddresses(
+            await self.callers_listener.listen(cfg.callers),
+            await self.local_listener.listen(cfg.local),
             await self.peer_server.listen(cfg.peers),
-            await self.operators_http.listen(cfg.operators),
+            await self.operators_listener.listen(cfg.operators),
             await self.agent.listen(self.env.open_gossip, cfg.gossip),
         )
         host = host_identity(cfg.peers)
         if host:
             self.keeper.listener = ListenerIdentity(host, self.clock.loop_epoch())
-        self.agent.start(self.me())
+        self.agent.start(self.local_member())
         roster = RosterStore(self.store, cfg.domain)
         bootstrap = Bootstrap(roster, self.agent.gossip, Random(self.env.rng.random()))
         self._spawn(self.agent.run())
         self._spawn(bootstrap.run())
         self._spawn(self.sync.run())
-        self._spawn(self.instruments.export_loop())
+        self._spawn(self.metrics.export_loop())
         self._spawn(self._announce_loop())
         self._spawn(self.ranges.run())
-        return self.faces
+        return self.addresses
 
     async def drain(self) -> None:
         """Take no new work, tell the others, and wait for what is in progress."""
         self.target.node_draining = True
-        self.local.target_changed.set()
-        self.callers_http.start_closing()
+        self.local_handler.target_changed.set()
+        self.callers_listener.start_closing()
         # Not awaited here: a platform that is out must not hold up the drain.
         handing_over = asyncio.create_task(self.ranges.update())
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(self.settings.drain_timeout):
                 # Callers and routers with an old view still come here for a moment: they
                 # are told to go elsewhere, which a closed port could not do.
-                await asyncio.sleep(DRAIN_NOTICE)
-                self.callers_http.stop_listening()
+                await asyncio.sleep(DRAIN_NOTICE_SECONDS)
+                self.callers_listener.stop_listening()
                 self.executor.refuse_waiting()
-                await self.callers_http.wait_idle()
+                await self.callers_listener.wait_idle()
                 await self.peer_server.wait_idle()
                 await self.running.wait_idle()
-                await self.once.wait_idle()
+                await self.idempotency_router.wait_idle()
                 await handing_over
                 self.keeper.close()
-                await self.once.wait_idle()
-                handed = await hand_over_keys(self.once.tables, self.keeper, self.view, self.links)
+                await self.idempotency_router.wait_idle()
+                handed = await hand_over_keys(
+                    self.idempotency_router.tables, self.keeper, self.view, self.links
+                )
                 log_handover(self.logger, handed)
-                await self.local_http.wait_idle()
+                await self.local_listener.wait_idle()
 
     async def stop(self) -> None:
         """Close everything."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
-        for face in (self.callers_http, self.local_http, self.operators_http):
+        for face in (self.callers_listener, self.local_listener, self.operators_listener):
             face.close()
         self.agent.leave()
         self.keeper.close()
-        self.deaths.close()
+        self.crash_notifier.close()
         self.peer_server.close()
         self.links.close()
-        self.instruments.close()
+        self.metrics.close()
         self.client.close()
         self.platform_client.close()
 
-    def me(self) -> Member:
+    def local_member(self) -> Member:
         """Give the word that this node spreads of itself."""
         state = State.DRAINING if self.target.draining else State.ALIVE
         cfg = self.settings
@@ -264,8 +272,8 @@
             state,
             cfg.domain,
             self.target.service,
-            self.faces.peers,
-            self.faces.gossip,
+            self.addresses.peers,
+            self.addresses.gossip,
         )
 
     def _member_changed(self, before: Member | None, member: Member) -> None:
@@ -317,7 +325,7 @@
 
     async def _serve_peer(self, call: Call) -> Reply:
         if not call.idempotent and not call.owner_approved:
-            return await self.once.handle_peer_call(call)
+            return await self.idempotency_router.handle_peer_call(call)
         loop = asyncio.get_running_loop()
         began = loop.time()
         work = read_call_frame(call, began)
@@ -331,16 +339,16 @@
             # Not wait_for: in 3.11 it swallows a cancellation that comes with the event, and a
             # node told to stop would hang.
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(WATCH_SECONDS):
-                    await self.local.target_changed.wait()
-            if self.local.target_changed.is_set():
-                self.local.target_changed.clear()
+                async with asyncio.timeout(TARGET_CHECK_SECONDS):
+                    await self.local_handler.target_changed.wait()
+            if self.local_handler.target_changed.is_set():
+                self.local_handler.target_changed.clear()
                 self.target_watch.record_announcement(loop.time())
             elif await self._target_gone(loop.time()):
                 self.logger.warning('target gone', extra={'service': self.target.service})
                 self.target.clear()
             self._configure()
-            self.agent.announce(self.me())
+            self.agent.announce(self.local_member())
 
     async def _target_gone(self, now: float) -> bool:
         address = self.target.address
--- a/dunlinsaddle/platform/heartbeats.py
+++ b/dunlinsaddle/platform/heartbeats.py
@@ -10,7 +10,7 @@
 from dunlinsaddle.calls.http import HttpRequest, HttpResponse, json_response
 from dunlinsaddle.mesh.heartbeats import Deregistration, Heartbeat
 from dunlinsaddle.platform.units import read_seconds
-from dunlinsaddle.settings import read_address
+from dunlinsaddle.settings import parse_address
 
 PATH = '/instances/'
 
@@ -41,7 +41,7 @@
             Heartbeat(
                 target_id=target_id,
                 service=beat.service,
-                address=read_address(beat.address),
+                address=parse_address(beat.address),
                 slots=beat.slots,
                 draining=beat.state == 'draining',
                 warmup_seconds=read_seconds(beat.cold_remaining),
--- a/dunlinsaddle/platform/node_file.py
+++ b/dunlinsaddle/platform/node_file.py
@@ -7,7 +7,7 @@
 
 from dunlinsaddle.mesh.settings import DeploymentLimits, MeshSettings
 from dunlinsaddle.platform.units import read_seconds
-from dunlinsaddle.settings import SettingError, read_address
+from dunlinsaddle.settings import SettingError, parse_address
 
 PEERS_PORT = 0  #: offset into the range of internal ports
 GOSSIP_PORT = 1
@@ -57,15 +57,15 @@
         instance=found.node_name,
         domain=found.zone,
         region=found.region,
-        callers=read_address(found.listen.outbound),
-        ready=read_address(found.listen.ready),
-        announce=read_address(found.listen.control),
-        peers=read_address(f'{host}:{first_port + PEERS_PORT}'),
-        gossip=read_address(f'{host}:{first_port + GOSSIP_PORT}'),
-        metrics=read_address(f'{host}:{METRICS_PORT}'),
-        target=read_address(found.app_address),
+        callers=parse_address(found.listen.outbound),
+        ready=parse_address(found.listen.ready),
+        announce=parse_address(found.listen.control),
+        peers=parse_address(f'{host}:{first_port + PEERS_PORT}'),
+        gossip=parse_address(f'{host}:{first_port + GOSSIP_PORT}'),
+        metrics=parse_address(f'{host}:{METRICS_PORT}'),
+        target=parse_address(found.app_address),
         service=found.service,
-        platform=read_address(found.platform.address),
+        platform=parse_address(found.platform.address),
         limits=DeploymentLimits(
             drain_seconds=read_seconds(bounds['drain']),
             grace_seconds=read_seconds(bounds['grace']),
--- a/dunlinsaddle/queries.py
+++ b/dunlinsaddle/queries.py
@@ -1,15 +1,13 @@
 """What operators may ask of a node; nothing here changes it."""
-
 import asyncio
-from typing import Any
-
-from dunlinsaddle.explain import Explanation, Question, explain
+from dunlinsaddle.explain import ExplainRequest, Explanation, explain
+from dunlinsaddle.managed_node import ManagedNode
 from dunlinsaddle.membership.roster import roster_entry_of
-from dunlinsaddle.operated import Operated
 from dunlinsaddle.policy.classify import classify
+from typing import Any
 
 
-def node_status(node: Operated) -> dict[str, Any]:
+def node_status(node: ManagedNode) -> dict[str, Any]:
     """Give what an operator wants to know of a node first."""
     load = node.admission.load(asyncio.get_running_loop().time())
     return {
@@ -17,17 +15,17 @@
         'domain': node.settings.domain,
         'service': node.target.service or None,
         'draining': node.target.draining,
-        'faces': {name: str(address) for name, address in node.faces._asdict().items()},
+        'faces': {name: str(address) for name, address in node.addresses._asdict().items()},
         'load': load._asdict(),
         **node.sync.status(),
-        'keys': node.once.status(node.target.service),
+        'keys': node.idempotency_router.status(node.target.service),
         'members': len(list(node.view.members())),
         'shed': dict(node.stats.shed),
         'retries': node.stats.retries,
     }
 
 
-def known_targets(node: Operated) -> list[dict[str, Any]]:
+def known_targets(node: ManagedNode) -> list[dict[str, Any]]:
     """Give all instances that a node knows of."""
     return [
         {**roster_entry_of(m), 'state': m.state.name.lower()}
@@ -35,7 +33,7 @@
     ]
 
 
-def explain_request(node: Operated, question: Question) -> Explanation | None:
+def explain_request(node: ManagedNode, question: ExplainRequest) -> Explanation | None:
     """Explain what would happen to a request at a node; None without a record."""
     record = node.book.find(question['service'])
     if record is None:
--- a/dunlinsaddle/routes/config_follower.py
+++ b/dunlinsaddle/routes/config_follower.py
@@ -3,37 +3,22 @@
 A few nodes of each failure domain watch the store. Every gossip message carries the configuration
 version of its sender, and a node that receives a newer version fetches it from that sender.
 """
-
 import asyncio
 import logging
 import math
 from collections.abc import Callable
-from random import Random
-from typing import Any
-
-from result import Err, Ok, Result
-
 from dunlinsaddle.access.configuration_lease import ConfigurationLease
 from dunlinsaddle.calls.link import PeerLinks
-from dunlinsaddle.calls.messages import (
-    MAX_TIMEOUT_SECONDS,
-    RecordFrame,
-    RecordsRequest,
-    RecordsResponse,
-)
-from dunlinsaddle.loops import Backoff, OnLoop
+from dunlinsaddle.calls.messages import MAX_TIMEOUT_SECONDS, RecordFrame, RecordsRequest, RecordsResponse
+from dunlinsaddle.loops import Backoff, LoopBound
 from dunlinsaddle.membership.view import Member
-from dunlinsaddle.platform.store import (
-    JsonValue,
-    Listing,
-    ObjectStore,
-    StoredObject,
-    Unavailable,
-    place_of,
-)
+from dunlinsaddle.platform.store import JsonValue, Listing, ObjectStore, StoredObject, Unavailable, place_of
 from dunlinsaddle.records.models import RecordEntry
 from dunlinsaddle.routes.models import Configuration, Organisation
 from dunlinsaddle.routes.table import RouteTable
+from random import Random
+from result import Err, Ok, Result
+from typing import Any
 
 #: Duration of one watch. It bounds how long a change is missed if the answer to a watch is lost on
 #: an open connection, which cannot be detected otherwise. Shorter watches cost more calls: three
@@ -57,7 +42,7 @@
 Decoder = Callable[[Any], Result[Configuration, str]]
 
 
-class ConfigFollower(OnLoop):
+class ConfigFollower(LoopBound):
     """Holds the newest configuration that this node has received; its version never decreases.
 
     Configurations are ordered by the operators' version. The store's versions only show what this
@@ -145,7 +130,7 @@
                     grace = INITIAL_GRACE_SECONDS
                     self._record_store_status(reachable=True, why='')
                     took = self.now() - began
-                    if took < min(wait, backoff.seconds) and self._object_version == object_version:
+                    if took < min(wait, backoff.next_seconds) and self._object_version == object_version:
                         # A store without history returns a listing at once instead of waiting.
                         # Calls without a pause would use up its capacity for other clients.
                         await backoff.pause()
--- a/dunlinsaddle/serve.py
+++ b/dunlinsaddle/serve.py
@@ -13,12 +13,19 @@
 
 from dunlinsaddle import __version__
 from dunlinsaddle.environment import Environment
-from dunlinsaddle.logs import start_logs
-from dunlinsaddle.memory import spare_collector
+from dunlinsaddle.exit_status import ExitStatus
+from dunlinsaddle.logs import create_logger
+from dunlinsaddle.memory import tune_garbage_collector
 from dunlinsaddle.mesh import daemon as mesh
 from dunlinsaddle.node import Node
-from dunlinsaddle.settings import OPTIONS, Option, Settings, env_name, read_settings, secret_files
-from dunlinsaddle.status import ExitStatus
+from dunlinsaddle.settings import (
+    OPTIONS,
+    Option,
+    Settings,
+    env_name,
+    read_settings,
+    secret_file_options,
+)
 
 
 def _describe(opt: Option) -> str:
@@ -48,7 +55,7 @@
         option('help', 'h', 'Show this help.'),
         option('version', None, 'Show the version.'),
         *(option(opt.name, None, _describe(opt), flag=False) for opt in OPTIONS),
-        *(option(name, None, _describe_file(name), flag=False) for name in secret_files()),
+        *(option(name, None, _describe_file(name), flag=False) for name in secret_file_options()),
     ]
 
     def __init__(self, env: Environment) -> None:
@@ -66,12 +73,12 @@
         node_file = self.option('node-file') or self.env.environ.get(env_name('node-file'))
         if node_file:
             return mesh.run(self.env, node_file, check=self._only_checks())
-        names = [*(opt.name for opt in OPTIONS), *secret_files()]
+        names = [*(opt.name for opt in OPTIONS), *secret_file_options()]
         flags = {name: self.option(name) for name in names}
         given = {name: text for name, text in flags.items() if text is not None}
         match read_settings(given, self.env.environ):
             case Err(error):
-                self.env.report(str(error))
+                self.env.print_error(str(error))
                 return ExitStatus.USAGE
             case Ok(settings):
                 return ExitStatus.OK if self._only_checks() else run(self.env, settings)
@@ -83,19 +90,19 @@
 def _usage() -> str:
     lines = ['usage: dunlinsaddled [--check-settings] --SETTING VALUE ...', '', 'settings:']
     lines += [f'  --{opt.name}\n      {_describe(opt)}' for opt in OPTIONS]
-    lines += [f'  --{name}\n      {_describe_file(name)}' for name in secret_files()]
+    lines += [f'  --{name}\n      {_describe_file(name)}' for name in secret_file_options()]
     return '\n'.join(lines) + '\n'
 
 
 def run(env: Environment, settings: Settings) -> ExitStatus:
     """Run a node until it is told to stop."""
-    logger = start_logs(
+    logger = create_logger(
         env.stderr, settings.log_level, instance=settings.instance, domain=settings.domain
     )
     try:
         return asyncio.run(_serve(Node(settings, env, logger)))
     except OSError as exc:
-        env.report(f'cannot listen: {exc}; give another address or stop what uses it')
+        env.print_error(f'cannot listen: {exc}; give another address or stop what uses it')
         return ExitStatus.ERROR
 
 
@@ -116,7 +123,7 @@
     loop.add_signal_handler(signal.SIGINT, interrupt)
     faces = await node.start()
     addresses = {name: str(address) for name, address in faces._asdict().items()}
-    spare_collector()
+    tune_garbage_collector()
     node.logger.info('listening', extra={'faces': addresses})
     try:
         await stop.wait()
@@ -132,9 +139,9 @@
 def serve(argv: list[str], env: Environment) -> int:
     """Run the command line with these arguments; gives the exit status."""
     output = StreamOutput(env.stdout)
-    io = IO(ArgvInput([env.program, *argv]), output, StreamOutput(env.stderr))
+    io = IO(ArgvInput([env.program_name, *argv]), output, StreamOutput(env.stderr))
     try:
         return ServeCommand(env).run(io)
     except CleoError as exc:
-        env.report(f'{str(exc).rstrip(".")}; see {env.program} --help')
+        env.print_error(f'{str(exc).rstrip(".")}; see {env.program_name} --help')
         return ExitStatus.USAGE
--- a/dunlinsaddle/settings.py
+++ b/dunlinsaddle/settings.py
@@ -9,7 +9,7 @@
 
 ENV_PREFIX = 'DUNLINSADDLE_'
 FILE_SUFFIX = '-file'
-FACES = ('callers', 'local', 'peers', 'gossip', 'operators')
+LISTENERS = ('callers', 'local', 'peers', 'gossip', 'operators')
 LOG_LEVELS = ('debug', 'info', 'warning', 'error')
 
 
@@ -67,7 +67,7 @@
     """One setting: how it is read, its default (None: required), and its help."""
 
     name: str
-    read: Callable[[str], Any]
+    parse: Callable[[str], Any]
     allowed: str
     help: str
     default: str | None = None
@@ -83,7 +83,7 @@
     return ENV_PREFIX + name.upper().replace('-', '_')
 
 
-def read_address(text: str) -> Address:
+def parse_address(text: str) -> Address:
     """Read HOST:PORT.
 
     >>> read_address('127.0.0.1:80')
@@ -97,7 +97,7 @@
 
 
 def _read_remote(text: str) -> Address:
-    address = read_address(text)
+    address = parse_address(text)
     if not address.port:
         raise ValueError(text)
     return address
@@ -120,7 +120,7 @@
     return text
 
 
-def read_secret(text: str) -> str:
+def parse_secret(text: str) -> str:
     """Read a key or token. Raises ValueError when a header could not carry it."""
     # A header takes no other characters, and a line's end would be part of the secret.
     if len(text) < 8 or not text.isascii() or not text.isprintable() or ' ' in text:
@@ -136,41 +136,41 @@
 
 
 def _whole(low: int, high: int) -> Callable[[str], int]:
-    def read(text: str) -> int:
+    def parse(text: str) -> int:
         number = int(text)
         if not low <= number <= high:
             raise ValueError(text)
         return number
 
-    return read
+    return parse
 
 
 def _seconds(low: float, high: float) -> Callable[[str], float]:
-    def read(text: str) -> float:
+    def parse(text: str) -> float:
         number = float(text)
         if not low <= number <= high:
             raise ValueError(text)
         return number
 
-    return read
+    return parse
 
 
 _NAME = '1 to 64 letters, digits, - and .'
 _ADDRESS = 'HOST:PORT with an IP number'
-SECRET_RULE = 'at least 8 printable ASCII characters, no space'
+SECRET_FORMAT = 'at least 8 printable ASCII characters, no space'
 
 OPTIONS: tuple[Option, ...] = (
     Option('instance', _read_name, _NAME, 'Name of this instance, unique in the fleet.'),
     Option('domain', _read_name, _NAME, 'Failure domain that this instance is in.'),
     Option('region', _read_name, _NAME, 'Region of the failure domain.', 'default'),
     Option('platform', _read_remote, _ADDRESS, "Address of the platform's object API."),
-    Option('peer-key', read_secret, SECRET_RULE, 'Key shared by all nodes.', secret=True),
-    Option('operator-token', read_secret, SECRET_RULE, "The operators' token.", secret=True),
-    Option('callers', read_address, _ADDRESS, 'Face for callers.', '127.0.0.1:0'),
-    Option('local', read_address, _ADDRESS, 'Face for the target beside it.', '127.0.0.1:0'),
-    Option('peers', read_address, _ADDRESS, 'Face for calls from other nodes.', '127.0.0.1:0'),
-    Option('gossip', read_address, _ADDRESS, 'Face for membership messages.', '127.0.0.1:0'),
-    Option('operators', read_address, _ADDRESS, 'Face for operators.', '127.0.0.1:0'),
+    Option('peer-key', parse_secret, SECRET_FORMAT, 'Key shared by all nodes.', secret=True),
+    Option('operator-token', parse_secret, SECRET_FORMAT, "The operators' token.", secret=True),
+    Option('callers', parse_address, _ADDRESS, 'Face for callers.', '127.0.0.1:0'),
+    Option('local', parse_address, _ADDRESS, 'Face for the target beside it.', '127.0.0.1:0'),
+    Option('peers', parse_address, _ADDRESS, 'Face for calls from other nodes.', '127.0.0.1:0'),
+    Option('gossip', parse_address, _ADDRESS, 'Face for membership messages.', '127.0.0.1:0'),
+    Option('operators', parse_address, _ADDRESS, 'Face for operators.', '127.0.0.1:0'),
     Option('seeds', _read_addresses, f'{_ADDRESS},...', 'Gossip faces to try first.', ''),
     Option('log-level', _read_level, ', '.join(LOG_LEVELS), 'Least level that is logged.', 'info'),
     Option(
@@ -196,7 +196,7 @@
 )
 
 
-def secret_files() -> list[str]:
+def secret_file_options() -> list[str]:
     """Name the settings that give a secret by the path of its file."""
     return [option.name + FILE_SUFFIX for option in OPTIONS if option.secret]
 
@@ -213,7 +213,7 @@
             case Err(error):
                 return Err(error)
         try:
-            values[option.name.replace('-', '_')] = option.read(text)
+            values[option.name.replace('-', '_')] = option.parse(text)
         except ValueError:
             shown = '(hidden)' if option.secret else text or '(empty)'
             return Err(SettingError(option.name, shown, option.allowed))
@@ -252,9 +252,9 @@
 def _faces_problem(settings: Settings) -> SettingError | None:
     if settings.local.host not in ('127.0.0.1', '::1'):
         return SettingError('local', str(settings.local), 'a loopback address')
-    for index, name in enumerate(FACES):
+    for index, name in enumerate(LISTENERS):
         address: Address = getattr(settings, name)
-        for other in FACES[:index]:
+        for other in LISTENERS[:index]:
             if _collide(address, getattr(settings, other)):
                 return SettingError(name, str(address), f'another port than that of {other}')
     return None
--- a/dunlinsaddle/stats.py
+++ b/dunlinsaddle/stats.py
@@ -17,7 +17,7 @@
 
 
 #: Upper bounds of the buckets of queue time, in seconds; the last bucket has none.
-QUEUE_BOUNDS = (0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0, 5.0)
+QUEUE_TIME_BOUNDS = (0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0, 5.0)
 
 
 #: Upper bounds of the buckets of latency, in seconds; the last bucket has none. Objectives of the
@@ -45,31 +45,31 @@
         self.wasted = 0
         self.queue_time = 0.0
         self.queued = 0
-        self.queue_buckets = [0] * (len(QUEUE_BOUNDS) + 1)
-        self.latency = {hop: [0] * (len(LATENCY_BOUNDS) + 1) for hop in Hop}
+        self.queue_time_buckets = [0] * (len(QUEUE_TIME_BOUNDS) + 1)
+        self.latency_buckets = {hop: [0] * (len(LATENCY_BOUNDS) + 1) for hop in Hop}
         self.added_time = 0.0
         self.answered = 0
         self.faults = 0
 
-    def count(self, label: CallLabel) -> None:
+    def record_call(self, label: CallLabel) -> None:
         """Count the end of one call at this entry."""
         self.calls[label] += 1
 
-    def waited(self, seconds: float) -> None:
+    def record_wait(self, seconds: float) -> None:
         """Count a call that waited for a slot, whether it then ran or not."""
         self.queued += 1
         self.queue_time += seconds
-        self.queue_buckets[bisect_left(QUEUE_BOUNDS, seconds)] += 1
+        self.queue_time_buckets[bisect_left(QUEUE_TIME_BOUNDS, seconds)] += 1
 
-    def took(self, hop: Hop, seconds: float) -> None:
+    def record_latency(self, hop: Hop, seconds: float) -> None:
         """Count how long a part of a call took."""
-        self.latency[hop][bisect_left(LATENCY_BOUNDS, seconds)] += 1
+        self.latency_buckets[hop][bisect_left(LATENCY_BOUNDS, seconds)] += 1
 
-    def added(self, seconds: float) -> None:
+    def record_added_time(self, seconds: float) -> None:
         """Count an answered call, and the time that this node itself took for it."""
         self.answered += 1
         self.added_time += seconds
 
-    def outcomes(self) -> Iterable[tuple[CallLabel, int]]:
+    def call_counts(self) -> Iterable[tuple[CallLabel, int]]:
         """Give the counts of ended calls."""
         return self.calls.items()
--- a/standins/demo.py
+++ b/standins/demo.py
@@ -10,7 +10,7 @@
 
 from dunlinsaddle.cli.core import program
 from dunlinsaddle.environment import Environment
-from dunlinsaddle.settings import Address, read_address
+from dunlinsaddle.settings import Address, parse_address
 from standins.caller import Caller, Tally
 from standins.fleet import OPERATOR_TOKEN, Fleet, TargetSpec
 
@@ -108,7 +108,7 @@
         operators = fleet.placed['bangor-1'].faces['operators']
         files = [str(path) for path in sorted(RECORDS.glob('*.json'))]
         say(operate(operators, 'apply', *files, '--why', 'first records'))
-        nodes = [read_address(p.faces['callers']) for p in fleet.placed.values()]
+        nodes = [parse_address(p.faces['callers']) for p in fleet.placed.values()]
         asyncio.run(wait_until_served(nodes, '/cut-orders/orders/17'))
         say(operate(operators, 'targets'))
         path = '/cut-orders/orders/17'
--- a/standins/latency.py
+++ b/standins/latency.py
@@ -17,7 +17,7 @@
 from hdrh.histogram import HdrHistogram
 
 from dunlinsaddle.policy.keys import generate_key
-from dunlinsaddle.settings import Address, read_address
+from dunlinsaddle.settings import Address, parse_address
 from standins.caller import Caller
 from standins.demo import operate, say, wait_until_served
 from standins.fleet import Fleet, Placed, TargetSpec
@@ -154,10 +154,10 @@
         record = Path(folder) / 'templates.json'
         record.write_bytes(msgspec.json.encode(RECORD))
         operate(entry.faces['operators'], 'apply', str(record))
-        nodes = {p.name: read_address(p.faces['callers']) for p in (target, entry)}
+        nodes = {p.name: parse_address(p.faces['callers']) for p in (target, entry)}
         asyncio.run(wait_until_served(list(nodes.values()), PATH))
         ways = [
-            Way('direct', read_address(target.listening), '/oak/1', ()),
+            Way('direct', parse_address(target.listening), '/oak/1', ()),
             Way('one node', nodes['bangor-1'], PATH, (target,)),
             Way('two nodes', nodes['menai-1'], PATH, (entry, target)),
             Way('two, keyed', nodes['menai-1'], PATH, (entry, target), keyed=True),
--- a/standins/mesh_target.py
+++ b/standins/mesh_target.py
@@ -15,7 +15,7 @@
 from dunlinsaddle.calls.listener import HttpListener
 from dunlinsaddle.platform import headers as names
 from dunlinsaddle.platform.heartbeats import PATH
-from dunlinsaddle.settings import read_address
+from dunlinsaddle.settings import parse_address
 
 BEAT_SECONDS = 0.5  #: between heartbeats; a third of the platform's, so that trials are short
 CALL_SECONDS = 2.0
@@ -147,10 +147,10 @@
 def main() -> None:
     """Run the stand-in as a process."""
     parser = argparse.ArgumentParser(description="Stand-in for a target of the users' platform.")
-    parser.add_argument('--listen', type=read_address, required=True)
-    parser.add_argument('--named', type=read_address, required=True, help='As callers see it.')
-    parser.add_argument('--control', type=read_address, required=True)
-    parser.add_argument('--outbound', type=read_address, required=True)
+    parser.add_argument('--listen', type=parse_address, required=True)
+    parser.add_argument('--named', type=parse_address, required=True, help='As callers see it.')
+    parser.add_argument('--control', type=parse_address, required=True)
+    parser.add_argument('--outbound', type=parse_address, required=True)
     parser.add_argument('--service', required=True)
     parser.add_argument('--slots', type=int, default=20)
     parser.add_argument('--seconds', type=float, default=0.02)
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -9,7 +9,7 @@
 
 from dunlinsaddle.calls.http import HttpLimits, HttpRequest, HttpResponse, json_response
 from dunlinsaddle.calls.listener import HttpListener
-from dunlinsaddle.settings import Address, read_address
+from dunlinsaddle.settings import Address, parse_address
 
 MAX_VALUE_BYTES = 1 << 20
 PAGE_ITEMS = 500
@@ -256,7 +256,7 @@
 def main() -> None:
     """Run the stand-in as a process."""
     parser = argparse.ArgumentParser(description='Stand-in for the platform.')
-    parser.add_argument('--listen', default='127.0.0.1:0', type=read_address)
+    parser.add_argument('--listen', default='127.0.0.1:0', type=parse_address)
     args = parser.parse_args()
     asyncio.run(serve(args.listen))
 
--- a/standins/press.py
+++ b/standins/press.py
@@ -22,7 +22,7 @@
 from hdrh.histogram import HdrHistogram
 
 from dunlinsaddle.calls.messages import Headers
-from dunlinsaddle.settings import Address, read_address
+from dunlinsaddle.settings import Address, parse_address
 from standins.caller import Caller
 from standins.demo import operate, say, wait_until_served
 from standins.fleet import Fleet, TargetSpec
@@ -208,7 +208,7 @@
     caller = Caller()
     begun = 0
     for placed in fleet.placed.values():
-        response = await caller.call(read_address(placed.listening), 'GET', '/-/begun')
+        response = await caller.call(parse_address(placed.listening), 'GET', '/-/begun')
         begun += msgspec.json.decode(response.body) if response else 0
     caller.close()
     return Snapshot(begun, sum(processor_seconds(p.node.popen.pid) for p in fleet.placed.values()))
@@ -231,7 +231,7 @@
 
 async def press(fleet: Fleet, setup: Setup, *, seed: int, impatient: bool) -> None:
     """Send all phases, wait for the last answers, and print what came."""
-    nodes = [read_address(p.faces['callers']) for p in fleet.placed.values()][: setup.entries]
+    nodes = [parse_address(p.faces['callers']) for p in fleet.placed.values()][: setup.entries]
     await wait_until_served(nodes, READ_PATH)
     loop = asyncio.get_running_loop()
     bounds = [loop.time() + START_IN]
--- a/standins/stages.py
+++ b/standins/stages.py
@@ -4,19 +4,15 @@
 only ever add to a turn. The caches are warm here, as they are not in a node that waits
 between its calls, so the figures serve to compare two versions of the code.
 """
-
 import argparse
 import asyncio
 import cProfile
+import h11
 import io
 import logging
 import socket
 import time
 from collections.abc import Callable
-from random import Random
-
-import h11
-
 from dunlinsaddle.calls.frames import _decoder, _encoder
 from dunlinsaddle.calls.http import HttpLimits
 from dunlinsaddle.calls.listener import HttpListener
@@ -28,6 +24,7 @@
 from dunlinsaddle.policy.route import Candidate, Router
 from dunlinsaddle.records.models import ServiceRecord, VersionedRecord
 from dunlinsaddle.settings import Address, read_settings
+from random import Random
 from standins.caller import Caller
 from standins.demo import say
 from standins.target import Target
@@ -186,17 +183,17 @@
     beside, entry = build_node('bangor-1'), build_node('menai-1')
     await beside.start()
     await entry.start()
-    target = Target('bangor-1', 'templates', beside.faces.local, 140, 0.0, [])
+    target = Target('bangor-1', 'templates', beside.addresses.local, 140, 0.0, [])
     face = HttpListener(target.handle, HttpLimits())
     address = await face.listen(LOOPBACK)
     announcing = asyncio.create_task(target.announce(address))
     await asyncio.sleep(0.5)
-    entry.view.merge(beside.me())
+    entry.view.merge(beside.local_member())
     caller = Caller()
     ways = {
         'direct': (address, '/oak/1'),
-        'one node': (beside.faces.callers, '/templates/oak/1'),
-        'two nodes': (entry.faces.callers, '/templates/oak/1'),
+        'one node': (beside.addresses.callers, '/templates/oak/1'),
+        'two nodes': (entry.addresses.callers, '/templates/oak/1'),
     }
     best = dict.fromkeys(ways, float('inf'))
     if profiler is not None:
--- a/standins/target.py
+++ b/standins/target.py
@@ -12,7 +12,7 @@
 from dunlinsaddle.calls.connection import Answered
 from dunlinsaddle.calls.http import HttpLimits, HttpRequest, HttpResponse, json_response
 from dunlinsaddle.calls.listener import HttpListener
-from dunlinsaddle.settings import Address, read_address
+from dunlinsaddle.settings import Address, parse_address
 
 ANNOUNCE_EVERY = 2.0
 CALL_TIMEOUT = 10.0
@@ -108,8 +108,8 @@
     parser = argparse.ArgumentParser(description='Stand-in for a target.')
     parser.add_argument('--name', required=True)
     parser.add_argument('--service', required=True)
-    parser.add_argument('--node', required=True, type=read_address, help='its local face')
-    parser.add_argument('--listen', default='127.0.0.1:0', type=read_address)
+    parser.add_argument('--node', required=True, type=parse_address, help='its local face')
+    parser.add_argument('--listen', default='127.0.0.1:0', type=parse_address)
     parser.add_argument('--slots', default=10, type=int)
     parser.add_argument('--seconds', default=0.01, type=float)
     parser.add_argument('--call', action='append', default=[], help='/service/path called down')
--- a/standins/ways.py
+++ b/standins/ways.py
@@ -22,7 +22,7 @@
 from dunlinsaddle.calls.messages import Call, Reply
 from dunlinsaddle.calls.peer_server import PeerServer
 from dunlinsaddle.errors import Outcome
-from dunlinsaddle.settings import Address, read_address
+from dunlinsaddle.settings import Address, parse_address
 from standins.demo import say
 from standins.fleet import PEER_KEY, START_SECONDS, Process
 from standins.latency import DIGITS, MOST_MICROSECONDS, processor_seconds
@@ -116,7 +116,7 @@
     say(f'{"way":<8}{"p50 us":>8}{"p99 us":>8}{"core us/call":>14}')
     for way in ('h11', 'frames', 'pynng') * 2:
         proc = Process([sys.executable, '-m', 'standins.ways', '--listen', way], {})
-        address = read_address(proc.out.get(timeout=START_SECONDS))
+        address = parse_address(proc.out.get(timeout=START_SECONDS))
         before = processor_seconds(proc.popen.pid)
         histogram = asyncio.run(measure(way, address, args.count))
         busy = (processor_seconds(proc.popen.pid) - before) / (args.count + WARM_UP)
--- a/tests/fakes/pair.py
+++ b/tests/fakes/pair.py
@@ -66,7 +66,7 @@
         said = msgspec.json.encode({'service': 'cut-orders', 'address': f'{HOST}:9000'})
         req = HttpRequest('POST', '/-/announce', [], said, '')
         while True:
-            await self.client.send(self.beside.faces.local, req, 1)
+            await self.client.send(self.beside.addresses.local, req, 1)
             await asyncio.sleep(ANNOUNCE_EVERY)
 
     async def start_node(self, name: str, port: int) -> Node:
@@ -94,7 +94,7 @@
 
     async def call(self, node: Node, number: int = 0, **headers: str) -> HttpResponse | None:
         path = f'/cut-orders/orders/{number}'
-        return await self.send(node.faces.callers, 'GET', path, number=str(number), **headers)
+        return await self.send(node.addresses.callers, 'GET', path, number=str(number), **headers)
 
     async def stop(self) -> None:
         self.announcing.cancel()
--- a/tests/fakes/site.py
+++ b/tests/fakes/site.py
@@ -71,7 +71,7 @@
         method, _, path = path.rpartition(' ')
         headers = [(CALL_HEADER, req.header(CALL_HEADER).encode())]
         down = HttpRequest(method or 'GET', path, headers, b'', '')
-        exchange = await HttpClient().send(self.node.faces.local, down, 30)
+        exchange = await HttpClient().send(self.node.addresses.local, down, 30)
         return exchange.response.status if isinstance(exchange, Answered) else 0
 
 
@@ -107,7 +107,7 @@
         self._break_links(node, domain)
         await node.start()
         self.nodes[name] = node
-        self._names[node.faces.peers] = self._names[node.faces.gossip] = domain
+        self._names[node.addresses.peers] = self._names[node.addresses.gossip] = domain
         return node
 
     async def place(
@@ -117,11 +117,11 @@
         target = target or Target()
         node = await self.start(name, domain)
         target.node = node
-        address = Address(HOST, node.faces.callers.port + 10)
+        address = Address(HOST, node.addresses.callers.port + 10)
         await target.face.listen(address)
         said = {'service': service, 'address': str(address)}
         req = HttpRequest('POST', '/-/announce', [], msgspec.json.encode(said), '')
-        await self.client.send(node.faces.local, req, 5)
+        await self.client.send(node.addresses.local, req, 5)
         self.targets[name] = target
         return node
 
@@ -131,7 +131,7 @@
         """Send a request; fails where no whole answer came."""
         named = [(n.replace('_', '-').encode(), v.encode()) for n, v in headers.items()]
         req = HttpRequest(method, path, named, b'', '')
-        exchange = await self.client.send(self.nodes[entry].faces.callers, req, timeout)
+        exchange = await self.client.send(self.nodes[entry].addresses.callers, req, timeout)
         assert isinstance(exchange, Answered), exchange
         return exchange.response
 
--- a/tests/fleet_case.py
+++ b/tests/fleet_case.py
@@ -11,7 +11,7 @@
 from testtools import TestCase
 
 from dunlinsaddle.calls.http import HttpResponse
-from dunlinsaddle.settings import read_address
+from dunlinsaddle.settings import parse_address
 from standins.caller import Caller
 from standins.demo import operate
 from standins.fleet import Fleet, Placed, TargetSpec
@@ -53,7 +53,7 @@
 
         async def once() -> HttpResponse | None:
             caller = Caller()
-            response = await caller.call(read_address(placed.faces['callers']), 'GET', path)
+            response = await caller.call(parse_address(placed.faces['callers']), 'GET', path)
             caller.close()
             return response
 
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -50,7 +50,7 @@
     async def send(self, method: str, path: str, body: bytes = b'', token: str = OPERATOR_TOKEN):
         headers = [(b'authorization', f'Bearer {token}'.encode('latin-1'))]
         req = HttpRequest(method, path, headers, body, '')
-        exchange = await self.client.send(self.node.faces.operators, req, 30)
+        exchange = await self.client.send(self.node.addresses.operators, req, 30)
         assert isinstance(exchange, Answered), exchange
         return exchange.response
 
@@ -148,7 +148,7 @@
             await self.store.put(RECORDS, 'cut-orders', {'record': build_document()}, 0)
             await asyncio.sleep(1)
             req = HttpRequest('GET', '/cut-orders/orders/1', [], b'', '')
-            await self.client.send(self.node.faces.callers, req, 10)
+            await self.client.send(self.node.addresses.callers, req, 10)
             return msgspec.json.decode((await self.send('GET', '/v1/metrics')).body)
 
         metrics = self.on_node(scenario)
@@ -169,7 +169,9 @@
             for _ in range(FUZZ_INPUTS):
                 await self.feed(sample())
             await asyncio.sleep(100)
-            return await self.status_of('GET', '/health'), len(self.node.operators_http.connections)
+            return await self.status_of('GET', '/health'), len(
+                self.node.operators_listener.connections
+            )
 
         self.assertEqual((200, 1), self.on_node(scenario))
         self.assertEqual((0, 0), (self.store.revision, self.node.stats.faults))
--- a/tests/test_callers_page.py
+++ b/tests/test_callers_page.py
@@ -3,7 +3,7 @@
 
 from testtools import TestCase
 
-from dunlinsaddle.errors import ANSWERS, Outcome
+from dunlinsaddle.errors import RESPONSE_RULES, Outcome
 
 PAGE = (Path(__file__).parent.parent / 'docs' / 'CALLERS.md').read_text()
 ROW = re.compile(
@@ -22,10 +22,10 @@
                 'yes' if rule.retry_after else 'no',
                 'yes' if rule.resend else 'no',
             )
-            for kind, rule in ANSWERS.items()
+            for kind, rule in RESPONSE_RULES.items()
         }
         self.assertEqual(answers, told)
-        self.assertEqual(len(ANSWERS), len(ROW.findall(PAGE)))
+        self.assertEqual(len(RESPONSE_RULES), len(ROW.findall(PAGE)))
 
     def test_a_new_key_is_advised_only_where_the_old_one_did_not_run(self):
         for _, kind, outcome, _, _, advice in ROW.findall(PAGE):
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -6,7 +6,7 @@
 from testtools import TestCase
 
 from dunlinsaddle.cli.core import COMMANDS
-from dunlinsaddle.status import ExitStatus
+from dunlinsaddle.exit_status import ExitStatus
 from tests.builders import build_document
 from tests.utils import NodeThread, run_cli
 
@@ -107,7 +107,7 @@
         with socket.socket() as sock:
             sock.bind(('127.0.0.1', 0))
             closed = f'127.0.0.1:{sock.getsockname()[1]}'
-        callers = str(self.place.faces.callers)
+        callers = str(self.place.addresses.callers)
         (self.folder / 'text.json').write_text('{')
         text = str(self.folder / 'text.json')
         cases = (
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -4,7 +4,7 @@
 import os
 
 from dunlinsaddle.calls.decisions import MAX_LINES_PER_SECOND, Event
-from dunlinsaddle.logs import LINES_HELD, PatientOutput, start_logs
+from dunlinsaddle.logs import MAX_BUFFERED_LINES, NonBlockingStream, create_logger
 from tests.clock import PausedClockTest
 from tests.fakes.mesh import Mesh
 from tests.utils import run_cli
@@ -22,7 +22,7 @@
             await mesh.configure()
             for name, service in (pair.split(':') for pair in targets):
                 node = await mesh.add_node(name, service)
-                logger = start_logs(mesh.stream, 'info', instance=name, domain='d')
+                logger = create_logger(mesh.stream, 'info', instance=name, domain='d')
                 node.logger = node.decisions.logger = logger
             await asyncio.sleep(SETTLE_SECONDS)
             try:
@@ -196,10 +196,10 @@
         # The pipe is full and nobody reads it. Writing returns at once. When the reader resumes,
         # it gets the oldest lines and one that states how many were dropped.
         read_fd, write_fd = os.pipe()
-        output = PatientOutput(write_fd)
+        output = NonBlockingStream(write_fd)
 
         async def scenario():
-            for number in range(LINES_HELD * 4):
+            for number in range(MAX_BUFFERED_LINES * 4):
                 output.write(f'{{"n": {number}, "x": "{"y" * 80}"}}\n')
                 output.flush()
             dropped = output.dropped
--- a/tests/test_drain.py
+++ b/tests/test_drain.py
@@ -74,7 +74,7 @@
         # The target asks for its drain, and goes on announcing itself every two seconds as
         # before. Callers are refused until it is replaced: another address ends the drain.
         async def use(pair):
-            local = pair.beside.faces.local
+            local = pair.beside.addresses.local
             await pair.send(local, 'POST', '/-/drain')
             await asyncio.sleep(5)
             refused = await pair.call(pair.beside)
@@ -87,7 +87,7 @@
         # The target drains, ends, and is started anew on the same port ten seconds later.
         # In between it was found gone, so its announcement is that of a new target.
         async def use(pair):
-            await pair.send(pair.beside.faces.local, 'POST', '/-/drain')
+            await pair.send(pair.beside.addresses.local, 'POST', '/-/drain')
             pair.announcing.cancel()
             await asyncio.sleep(10)
             pair.announcing = asyncio.get_running_loop().create_task(pair.announce())
@@ -158,7 +158,7 @@
         # waits in its queue is told at its deadline that it did not run.
         async def use(pair):
             loop = asyncio.get_running_loop()
-            target = pair.beside.faces.callers
+            target = pair.beside.addresses.callers
 
             async def send(number, timeout):
                 headers = {'number': str(number), 'sleep': '50', 'request_timeout': timeout}
@@ -203,7 +203,7 @@
     def test_a_call_that_cannot_be_sent_after_its_deadline_did_not_run(self):
         async def use(pair):
             req = HttpRequest('GET', '/cut-orders/orders/1', [], b'', '')
-            await pair.client.send(pair.beside.faces.callers, req, 0)
+            await pair.client.send(pair.beside.addresses.callers, req, 0)
             await asyncio.sleep(0.1)
             return len(pair.target.started)
 
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -2,17 +2,17 @@
 
 from testtools import TestCase
 
-from dunlinsaddle.explain import Question, explain
+from dunlinsaddle.explain import ExplainRequest, explain
 from dunlinsaddle.policy.admission import Load
 from dunlinsaddle.policy.route import Router
 from tests.builders import build_member, build_record
 
-RELEASE = Question(service='cut-orders', method='POST', path='/orders/17/release')
-READ = Question(service='cut-orders', method='GET', path='/orders/17')
+RELEASE = ExplainRequest(service='cut-orders', method='POST', path='/orders/17/release')
+READ = ExplainRequest(service='cut-orders', method='GET', path='/orders/17')
 
 
 class ExplainTest(TestCase):
-    def explain(self, question: Question, members=(), load: Load | None = None, **changes):
+    def explain(self, question: ExplainRequest, members=(), load: Load | None = None, **changes):
         router = Router('bangor-hall', Random(1))
         for member in members:
             router.record_sent(member.instance)
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -120,7 +120,7 @@
         async def use(site, **faults):
             await self.place_all(site)
             vars(site.store).update(faults)
-            seeds = str(site.nodes['bangor-1'].faces.gossip)
+            seeds = str(site.nodes['bangor-1'].addresses.gossip)
             await site.start('fresh', 'caernarfon-hall', seeds=seeds)
             await asyncio.sleep(3)
             calls = ((LOOK, 'GET'), (RELEASE, 'POST'))
@@ -171,7 +171,7 @@
         headers = [(b'authorization', f'Bearer {OPERATOR_TOKEN}'.encode())]
         body = msgspec.json.encode(change)
         req = HttpRequest('PUT', '/v1/records/cut-orders', headers, body, '')
-        exchange = await site.client.send(node.faces.operators, req, 30)
+        exchange = await site.client.send(node.addresses.operators, req, 30)
         return exchange.response.status, msgspec.json.decode(exchange.response.body)
 
     def test_a_change_binds_targets_that_run_already(self):
--- a/tests/test_fleet_faults.py
+++ b/tests/test_fleet_faults.py
@@ -9,7 +9,7 @@
 from dunlinsaddle.calls.connection import Answered
 from dunlinsaddle.calls.http import HttpRequest
 from dunlinsaddle.calls.messages import NotSent
-from dunlinsaddle.settings import read_address
+from dunlinsaddle.settings import parse_address
 from tests.fleet_case import DOMAINS, FleetCase
 
 VICTIM = 'bangor-1'
@@ -44,7 +44,7 @@
             end = loop.time() + seconds
 
             async def press(entry):
-                address = read_address(self.fleet.placed[entry].faces['callers'])
+                address = parse_address(self.fleet.placed[entry].faces['callers'])
                 while loop.time() < end:
                     number = next(numbers)
                     path = f'/cut-orders/orders/{number}'
@@ -62,7 +62,7 @@
 
     async def runs(self):
         """Give the numbers of the calls that the victim's target has been given."""
-        address = read_address(self.fleet.placed[VICTIM].listening)
+        address = parse_address(self.fleet.placed[VICTIM].listening)
         exchange = await HttpClient().send(address, HttpRequest('GET', '/-/runs', [], b'', ''), 5)
         return set(msgspec.json.decode(exchange.response.body))
 
@@ -107,7 +107,7 @@
         # drain goes on without, and the process ends.
         async def fail():
             req = HttpRequest('POST', '/faults', [], b'{"down": true}', '')
-            await HttpClient().send(read_address(self.fleet.platform), req, 5)
+            await HttpClient().send(parse_address(self.fleet.platform), req, 5)
 
         asyncio.run(fail())
         self.stop_under_load()
--- a/tests/test_fuzz_faces.py
+++ b/tests/test_fuzz_faces.py
@@ -87,7 +87,7 @@
             await asyncio.sleep(100)
             grown = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss - base
             after = (node.target.address, pair.store.objects[RECORDS, 'cut-orders'])
-            left = [len(face.connections) for face in (node.callers_http, node.local_http)]
+            left = [len(face.connections) for face in (node.callers_listener, node.local_listener)]
             # The other node compares records over a link of its own, which is to stay.
             own = [link for link in pair.entry.links._links.values() if link.is_open]
             left.append(len(node.peer_server.links) - len(own))
@@ -128,7 +128,7 @@
         headers = b'dunlinsaddle-call: 1\r\ndunlinsaddle-rank: 0\r\nrequest-timeout: nan\r\n'
         line = b'GET /cut-orders/orders/1 HTTP/1.1\r\n'
         self.fuzz(
-            lambda node: node.faces.callers,
+            lambda node: node.addresses.callers,
             lambda rng: bad_request(rng, line, headers, rng.choice([b'12345', b'0\r\n\r\n'])),
         )
 
@@ -143,7 +143,7 @@
             body = rng.choice(bodies)
             return line + b'host: a\r\ncontent-length: %d\r\n\r\n%s' % (len(body), body)
 
-        self.fuzz(lambda node: node.faces.local, make)
+        self.fuzz(lambda node: node.addresses.local, make)
 
     def test_operators_face(self):
         # Well-formed changes with a wrong token, and malformed ones: no record changes.
@@ -158,7 +158,7 @@
                 return bad_request(rng, line, headers, body)
             return line + b'host: a\r\n%scontent-length: %d\r\n\r\n%s' % (headers, len(body), body)
 
-        self.fuzz(lambda node: node.faces.operators, make)
+        self.fuzz(lambda node: node.addresses.operators, make)
 
     def test_peers_face_without_the_key(self):
         # Random bytes, absurd lengths, wrong keys, Hello frames recorded on another link:
@@ -184,7 +184,7 @@
             ]
             return rng.choice(start) + frame(build_call(rng.randrange(9)))
 
-        self.fuzz(lambda node: node.faces.peers, make)
+        self.fuzz(lambda node: node.addresses.peers, make)
 
     def test_peers_face_with_the_key(self):
         # A peer with a fault: numbers out of range, wrong types, frames of the other side.
@@ -220,4 +220,4 @@
             change = rng.choice(bad)
             return frame(build_call(**change))
 
-        self.fuzz(lambda node: node.faces.peers, make, greet=greet)
+        self.fuzz(lambda node: node.addresses.peers, make, greet=greet)
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -4,13 +4,13 @@
 
 from testtools import TestCase
 
-from dunlinsaddle.logs import start_logs
+from dunlinsaddle.logs import create_logger
 
 
 class LogsTest(TestCase):
     def test_each_event_is_one_json_object_with_where_and_when(self):
         stream = io.StringIO()
-        logger = start_logs(stream, 'info', instance='bangor-1', domain='bangor-hall')
+        logger = create_logger(stream, 'info', instance='bangor-1', domain='bangor-hall')
         logger.debug('not shown')
         try:
             raise ValueError('two\nlines')
--- a/tests/test_mesh_daemon.py
+++ b/tests/test_mesh_daemon.py
@@ -1,13 +1,12 @@
+
 import json
 import tempfile
-from pathlib import Path
-
-from testtools import TestCase
-
-from dunlinsaddle.daemon import program
+from dunlinsaddle.daemon import run_daemon
 from dunlinsaddle.mesh.daemon import load_settings, reload_settings
 from dunlinsaddle.mesh.node import MeshNode
+from pathlib import Path
 from tests.builders import build_environment, build_logger, build_node_file
+from testtools import TestCase
 
 
 class SettingsFileTest(TestCase):
@@ -43,9 +42,9 @@
 
     def test_the_check_reports_an_invalid_setting_in_one_line(self):
         env = build_environment()
-        self.assertEqual(0, program(['--node-file', str(self.path), '--check'], env))
+        self.assertEqual(0, run_daemon(['--node-file', str(self.path), '--check'], env))
         self.write_file(build_node_file(appAddress='nowhere'))
-        status = program(['--check'], set_node_file(env, self.path))
+        status = run_daemon(['--check'], set_node_file(env, self.path))
         self.assertEqual(2, status)
         self.assertEqual(1, len(env.stderr.getvalue().splitlines()))
 
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -18,13 +18,13 @@
         observe_stats(metrics, stats)
         self.assertEqual(0, metrics.read()['dunlinsaddle.retries'][0]['value'])
         label = CallLabel('cut-orders', 'critical', 'done', '')
-        stats.count(label)
-        stats.count(label)
+        stats.record_call(label)
+        stats.record_call(label)
         stats.shed['overloaded'] += 3
-        stats.waited(0.005)
-        stats.waited(0.3)
-        stats.waited(60)
-        stats.added(0.25)
+        stats.record_wait(0.005)
+        stats.record_wait(0.3)
+        stats.record_wait(60)
+        stats.record_added_time(0.25)
         found = metrics.read()
         self.assertEqual([{'value': 2, **label._asdict()}], found['dunlinsaddle.calls'])
         self.assertEqual([{'value': 3, 'reason': 'overloaded'}], found['dunlinsaddle.shed'])
@@ -50,7 +50,9 @@
             address = await face.listen(Address('127.0.0.1', 0))
             stats = Stats()
             stats.retries = 7
-            metrics = Metrics({'service.name': 'x'}, f'http://{address}/v1/metrics', every=0.05)
+            metrics = Metrics(
+                {'service.name': 'x'}, f'http://{address}/v1/metrics', export_interval=0.05
+            )
             observe_stats(metrics, stats)
             task = asyncio.create_task(metrics.export_loop())
             sent = await asyncio.wait_for(bodies.get(), 10)
--- a/tests/test_node_paused.py
+++ b/tests/test_node_paused.py
@@ -50,7 +50,7 @@
             await asyncio.gather(*(pair.call(pair.entry, n, sleep='0.3') for n in range(2)))
             await pair.call(pair.beside, 3)
             found = [(n.stats.answered, n.stats.added_time) for n in (pair.entry, pair.beside)]
-            queued = pair.beside.stats.queue_buckets
+            queued = pair.beside.stats.queue_time_buckets
             await pair.stop()
             return found, sum(queued), queued[8]
 
--- a/tests/test_once_processes.py
+++ b/tests/test_once_processes.py
@@ -14,7 +14,7 @@
 from dunlinsaddle.calls.http import HttpResponse
 from dunlinsaddle.policy.keys import RANGE_COUNT, generate_key
 from dunlinsaddle.policy.ownership import decode_range_map
-from dunlinsaddle.settings import read_address
+from dunlinsaddle.settings import parse_address
 from standins.caller import Caller
 from standins.fleet import TargetSpec
 from tests.fleet_case import DOMAINS, FleetCase
@@ -43,7 +43,7 @@
         asyncio.run(run())
 
     async def fetch(self, address: str, path: str) -> object:
-        response = await self.caller.call(read_address(address), 'GET', path)
+        response = await self.caller.call(parse_address(address), 'GET', path)
         assert response is not None
         return msgspec.json.decode(response.body)
 
@@ -77,13 +77,13 @@
         return generate_key(int(time.time() * 1000), self.rng, 'cut-orders', wanted).text
 
     async def fetch_key(self, entry: str) -> str:
-        address = read_address(self.fleet.placed[entry].faces['callers'])
+        address = parse_address(self.fleet.placed[entry].faces['callers'])
         response = await self.caller.call(address, 'POST', '/-/keys/cut-orders')
         assert response is not None
         return msgspec.json.decode(response.body)['key']
 
     async def send(self, entry: str, key: str) -> HttpResponse | None:
-        address = read_address(self.fleet.placed[entry].faces['callers'])
+        address = parse_address(self.fleet.placed[entry].faces['callers'])
         headers = [(b'idempotency-key', key.encode())]
         return await self.caller.call(address, 'POST', RELEASE, headers, timeout=5.0)
 
@@ -233,7 +233,7 @@
         # No key came, so no resend can be told from a new call; but the system's own retries
         # must not run it twice. The answer is "unknown", although other targets are idle.
         async def scenario() -> None:
-            address = read_address(self.fleet.placed['menai-1'].faces['callers'])
+            address = parse_address(self.fleet.placed['menai-1'].faces['callers'])
             calls = [self.caller.call(address, 'POST', RELEASE, timeout=5.0) for _ in range(9)]
             tasks = [asyncio.create_task(call) for call in calls]
             await asyncio.sleep(RUN_SECONDS / 2)
--- a/tests/test_operators_page.py
+++ b/tests/test_operators_page.py
@@ -4,8 +4,8 @@
 
 from testtools import TestCase
 
-from dunlinsaddle.settings import OPTIONS, env_name, secret_files
-from dunlinsaddle.status import ExitStatus
+from dunlinsaddle.exit_status import ExitStatus
+from dunlinsaddle.settings import OPTIONS, env_name, secret_file_options
 from tests.utils import NodeThread
 
 PAGE = (Path(__file__).parent.parent / 'docs' / 'OPERATORS.md').read_text()
@@ -29,7 +29,7 @@
             row = f'| `--{opt.name}` | `{env_name(opt.name)}` | {opt.allowed} | '
             row += f'{default if opt.default != "" else "none"} | {opt.help} |'
             self.assertIn(row, PAGE)
-        for name in secret_files():
+        for name in secret_file_options():
             self.assertIn(f'`--{name}`', PAGE)
 
     def test_exit_statuses_are_all_there(self):
--- a/tests/test_replay.py
+++ b/tests/test_replay.py
@@ -5,9 +5,9 @@
 from testtools import TestCase
 
 from dunlinsaddle.cli.core import program
+from dunlinsaddle.exit_status import ExitStatus
 from dunlinsaddle.replay.run import replay
 from dunlinsaddle.replay.trace import TraceError, read_trace
-from dunlinsaddle.status import ExitStatus
 from tests.builders import build_environment, build_trace_lines
 
 TRACES = Path(__file__).parent / 'traces'
@@ -69,7 +69,7 @@
     def test_missed_outcome_has_its_own_exit_status(self):
         expect = '{"kind":"expect","metric":"goodput","op":">=","value":9}'
         status, env = self.run_tool([*build_trace_lines(), expect])
-        self.assertEqual(ExitStatus.NOT_MET, status)
+        self.assertEqual(ExitStatus.EXPECTATION_NOT_MET, status)
         self.assertIn('MISSED', env.stdout.getvalue())
 
     def test_figures_as_json(self):
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -3,7 +3,7 @@
 
 from testtools import TestCase
 
-from dunlinsaddle.daemon import program
+from dunlinsaddle.daemon import run_daemon
 from dunlinsaddle.settings import env_name
 from tests.builders import OPERATOR_TOKEN, PEER_KEY, build_environment
 
@@ -39,9 +39,9 @@
 
 class SettingsTest(TestCase):
     def check(self, flags: dict[str, str], environ: dict[str, str] | None = None):
-        env = build_environment(program='dunlinsaddled', environ=environ or {})
+        env = build_environment(program_name='dunlinsaddled', environ=environ or {})
         argv = [f'--{name}={text}' for name, text in flags.items()]
-        return program(['--check', *argv], env), env.stderr.getvalue()
+        return run_daemon(['--check', *argv], env), env.stderr.getvalue()
 
     def test_good_settings_pass_from_flags_and_from_the_environment(self):
         environ = {env_name(name): text for name, text in GOOD.items()}
--- a/tests/test_signals.py
+++ b/tests/test_signals.py
@@ -2,8 +2,8 @@
 import signal
 import time
 
-from dunlinsaddle.settings import read_address
-from dunlinsaddle.status import ExitStatus
+from dunlinsaddle.exit_status import ExitStatus
+from dunlinsaddle.settings import parse_address
 from standins.caller import Caller
 from standins.fleet import TargetSpec
 from tests.fleet_case import FleetCase
@@ -25,7 +25,7 @@
 
         async def scenario():
             caller = Caller()
-            address = read_address(self.placed.faces['callers'])
+            address = parse_address(self.placed.faces['callers'])
             call = asyncio.create_task(caller.call(address, 'GET', '/cut-orders/orders/1'))
             await asyncio.sleep(0.3)
             for number in signals:
--- a/tests/test_sync.py
+++ b/tests/test_sync.py
@@ -1,6 +1,5 @@
-import asyncio
-from random import Random
 
+import asyncio
 from dunlinsaddle.calls.messages import RecordsPush, RecordsRequest
 from dunlinsaddle.membership.roster import ROSTERS
 from dunlinsaddle.membership.view import State
@@ -9,6 +8,7 @@
 from dunlinsaddle.records.history import RECORDS
 from dunlinsaddle.records.models import RecordEntry
 from dunlinsaddle.records.topology import FANOUT, WATCHERS
+from random import Random
 from tests.builders import build_document, build_environment, build_logger, build_settings
 from tests.clock import PausedClockTest
 from tests.fakes.records import FakeFleet, FakeNode
@@ -332,8 +332,8 @@
             await near.put(RECORDS, 'cut-orders', {'record': build_document()}, 0)
             await one.start()
             await two.start()
-            one.view.merge(two.me())
-            two.view.merge(one.me())
+            one.view.merge(two.local_member())
+            two.view.merge(one.local_member())
             await asyncio.sleep(3)
             first = two.book.version('cut-orders')
             await near.put(RECORDS, 'cut-orders', {'record': build_document()}, 1)
--- a/tests/utils.py
+++ b/tests/utils.py
@@ -8,9 +8,9 @@
 import msgspec
 
 from dunlinsaddle.cli.core import program
+from dunlinsaddle.managed_node import ListenAddresses
 from dunlinsaddle.membership.roster import ROSTERS
 from dunlinsaddle.node import Node
-from dunlinsaddle.operated import Faces
 from tests.builders import OPERATOR_TOKEN, build_environment, build_logger, build_settings
 from tests.fakes.store import FakeStore
 
@@ -41,7 +41,7 @@
     def __init__(self) -> None:
         self.store = FakeStore(apart={ROSTERS})
         self.node: Node
-        self.faces: Faces
+        self.addresses: ListenAddresses
         self.loop = asyncio.new_event_loop()
         self._ready = threading.Event()
         self._thread = threading.Thread(target=self._run)
@@ -59,7 +59,7 @@
 
     def cli(self, *argv: str, stdin: str = '', **environ: str) -> CliResult:
         defaults = {
-            'DUNLINSADDLE_NODE': str(self.faces.operators),
+            'DUNLINSADDLE_NODE': str(self.addresses.operators),
             'DUNLINSADDLE_OPERATOR_TOKEN': OPERATOR_TOKEN,
             'USER': 'ann',
         }
@@ -81,7 +81,7 @@
     async def _serve(self) -> None:
         self.node = Node(build_settings(), build_environment(), build_logger('node'))
         self.node.use_store(self.store)
-        self.faces = await self.node.start()
+        self.addresses = await self.node.start()
         self._ready.set()
         await self._stop.wait()
         await self.node.stop()
