--- a/dunlinsaddle/access/authentication.py
+++ b/dunlinsaddle/access/authentication.py
@@ -1,15 +1,13 @@
 """Authenticates requests by the keys of organisations."""
-
-from result import Err, Ok, Result
-
 from dunlinsaddle.access.configuration_lease import ConfigurationLease
 from dunlinsaddle.calls.call_state import RunningCall, is_derived_request_id
 from dunlinsaddle.errors import ErrorKind, Failure
-from dunlinsaddle.platform.requests import CallerTerms
+from dunlinsaddle.platform.requests import CallerHeaders
 from dunlinsaddle.records.models import Rank
 from dunlinsaddle.routes.config_follower import ConfigFollower
 from dunlinsaddle.routes.models import Organisation, Route
 from dunlinsaddle.routes.table import RouteTable
+from result import Err, Ok, Result
 
 #: Retry-After of a call whose parent request is unknown. A node that restarted beside a running
 #: target knows none of the target's requests, and these end within about a second.
@@ -39,7 +37,7 @@
         self.follower = follower
         self.configuration_lease = configuration_lease
 
-    async def wait_for_key_status(self, terms: CallerTerms) -> bool:
+    async def wait_for_key_status(self, terms: CallerHeaders) -> bool:
         """Wait for a configuration that may hold an unknown key; return whether that is decided.
 
         Failure: a key was just added, and a node without the new configuration answers 401, which
@@ -47,12 +45,12 @@
         after the request's arrival. Keys that were held before are not waited for: a revoked key
         is refused at once.
         """
-        if self._known(terms.key):
+        if self._known(terms.key_digest):
             return True
         arrived_at = self.configuration_lease.clock()
 
         def is_decided() -> bool:
-            return self.configuration_lease.confirmed_at >= arrived_at or self._known(terms.key)
+            return self.configuration_lease.confirmed_at >= arrived_at or self._known(terms.key_digest)
 
         await self.configuration_lease.wait_for(is_decided, CONFIRMATION_TIMEOUT_SECONDS)
         return is_decided()
@@ -65,7 +63,7 @@
 
     def authenticate(
         self,
-        terms: CallerTerms,
+        terms: CallerHeaders,
         table: RouteTable,
         route: Route,
         parent: RunningCall | None,
@@ -84,15 +82,15 @@
             return Ok(None)
         if route.public:
             return Ok(
-                None if self.configuration_lease.expired else table.find_key_holder(terms.key)
+                None if self.configuration_lease.expired else table.find_key_holder(terms.key_digest)
             )
-        if not terms.key and is_derived_request_id(terms.request_id):
+        if not terms.key_digest and is_derived_request_id(terms.request_id):
             return Err(Failure(ErrorKind.PARENT_UNKNOWN, '', UNKNOWN_PARENT_RETRY_AFTER_SECONDS))
-        if terms.key and self.configuration_lease.expired:
+        if terms.key_digest and self.configuration_lease.expired:
             return Err(
                 Failure(ErrorKind.STALE_CONFIGURATION, 'no proof', STALE_RETRY_AFTER_SECONDS)
             )
-        holder = table.find_key_holder(terms.key)
+        holder = table.find_key_holder(terms.key_digest)
         if holder is not None:
             return Ok(holder)
         if not key_status_known:
--- a/dunlinsaddle/admin.py
+++ b/dunlinsaddle/admin.py
@@ -1,31 +1,21 @@
 """The operators' face: records, status, targets, metrics. A change goes to the platform."""
-
 import hmac
+import msgspec
 import time
 from collections.abc import Callable
-from typing import Any
-from urllib.parse import parse_qs, unquote, urlsplit
-
-import msgspec
-from result import Err, Ok, Result
-
 from dunlinsaddle.calls.http import HttpRequest, HttpResponse, failure_response, json_response
 from dunlinsaddle.errors import ErrorKind, Failure, problem_document
 from dunlinsaddle.explain import ExplainRequest
 from dunlinsaddle.managed_node import ManagedNode
 from dunlinsaddle.platform.store import Unavailable
 from dunlinsaddle.queries import explain_request, known_targets, node_status
-from dunlinsaddle.records.changes import (
-    COME_BACK,
-    Change,
-    Rejected,
-    apply_change,
-    check_change,
-    entry_of,
-)
+from dunlinsaddle.records.changes import Change, RETRY_AFTER_SECONDS, Rejected, apply_change, entry_from_object, validate_change
 from dunlinsaddle.records.diff import changed_fields
 from dunlinsaddle.records.history import RECORDS, read_audit, read_history
 from dunlinsaddle.records.schema import encode_record
+from result import Err, Ok, Result
+from typing import Any
+from urllib.parse import parse_qs, unquote, urlsplit
 
 MAX_CHANGE_BYTES = 65_536
 LISTENER_HEADER = (b'dunlinsaddle-face', b'operators')  #: tells this face from the other three
@@ -127,16 +117,16 @@
         return _wrong_method(req) if known else _not_found(req)
 
     def _in_force(self) -> list[dict[str, Any]]:
-        book = self.node.book
+        record_cache = self.node.record_cache
         return [
             {
                 'service': e.service,
                 'version': e.version,
                 'schema': e.record.schema,
                 'mode': e.record.mode.value,
-                'since': book.since.get(e.service, 0.0),
+                'since': record_cache.in_force_since.get(e.service, 0.0),
             }
-            for e in sorted(book.entries())
+            for e in sorted(record_cache.entries())
             if e.record
         ]
 
@@ -147,22 +137,24 @@
                 return _unknown(service)
             case Ok(held):
                 assert held is not None
-                doc = entry_of(held).doc
+                doc = entry_from_object(held).doc
                 if doc is None:
                     return _unknown(service)
                 return json_response({'version': held.version, 'record': doc, 'source': 'platform'})
             case Err(_):
-                record = self.node.book.find(service)
+                record = self.node.record_cache.find(service)
                 if record is None:
                     return _unavailable(Unavailable('and this node holds no such record'))
-                version = self.node.book.version(service)
+                version = self.node.record_cache.version(service)
                 doc = encode_record(record)
                 return json_response({'version': version, 'record': doc, 'source': 'node'})
 
     async def _change(self, req: HttpRequest, service: str) -> HttpResponse:
         match self._read_change(req, service):
             case Ok(change):
-                result = await apply_change(self.node.store, change, self.node.book.newest)
+                result = await apply_change(
+                    self.node.store, change, self.node.record_cache.newest_schema
+                )
             case Err(failure):
                 return failure_response(failure)
         match result:
@@ -184,10 +176,10 @@
                 return failure_response(failure)
         match await self.node.store.get(RECORDS, service):
             case Ok(held):
-                failed = check_change(change, held, self.node.book.newest)
+                failed = validate_change(change, held, self.node.record_cache.newest_schema)
                 if failed is not None:
                     return failure_response(failed)
-                fields = changed_fields(entry_of(held).doc if held else None, change.doc)
+                fields = changed_fields(entry_from_object(held).doc if held else None, change.doc)
                 version = held.version if held else 0
                 return json_response({'service': service, 'version': version, 'changed': fields})
             case Err(error):
@@ -202,7 +194,7 @@
                 return failure_response(failure)
         match await self.node.store.get(RECORDS, service):
             case Ok(held):
-                stored = entry_of(held).doc if held else None
+                stored = entry_from_object(held).doc if held else None
                 fields = changed_fields(stored, doc)
                 version = held.version if held else 0
                 return json_response(
@@ -259,17 +251,19 @@
     async def _rollout(self) -> Any:
         """Give, per failure domain, how far the members that were asked are."""
         sync = self.node.sync
-        found = await sync.survey()
+        found = await sync.survey_members()
         own = self.node.settings.domain
         found.setdefault(own, [])
         rows = []
         for domain, answers in sorted(found.items()):
             known = [a.upto for a in answers if a is not None]
             if domain == own:
-                known.append(self.node.book.complete_revision)
+                known.append(self.node.record_cache.complete_revision)
             lowest = min(known, default=0)
             versions = {
-                e.service: e.version for e in self.node.book.entries() if e.version <= lowest
+                e.service: e.version
+                for e in self.node.record_cache.entries()
+                if e.version <= lowest
             }
             asked = len(answers) + (domain == own)
             rows.append(
@@ -310,7 +304,7 @@
 
 
 def _unavailable(error: Unavailable) -> HttpResponse:
-    failure = Failure(ErrorKind.PLATFORM_UNAVAILABLE, error.detail, COME_BACK)
+    failure = Failure(ErrorKind.PLATFORM_UNAVAILABLE, error.detail, RETRY_AFTER_SECONDS)
     return failure_response(failure)
 
 
--- a/dunlinsaddle/calls/handlers.py
+++ b/dunlinsaddle/calls/handlers.py
@@ -14,8 +14,8 @@
 from dunlinsaddle.policy.classify import classify
 from dunlinsaddle.policy.context import CallContext, MAX_HOPS, inherit_priority, priority_of
 from dunlinsaddle.policy.retry import RetryAllowance
-from dunlinsaddle.records.book import RecordBook
 from dunlinsaddle.records.models import Mode, RequestRule, ServiceRecord
+from dunlinsaddle.records.record_cache import RecordCache
 from dunlinsaddle.settings import parse_address
 from dunlinsaddle.stats import CallLabel, Stats
 from typing import TypedDict
@@ -64,12 +64,12 @@
 
     def __init__(
         self,
-        book: RecordBook,
+        record_cache: RecordCache,
         dispatcher: Dispatcher,
         stats: Stats,
         on_unknown_outcome: Callable[[CallContext, str], None] = lambda ctx, kind: None,
     ) -> None:
-        self.book = book
+        self.record_cache = record_cache
         self.dispatcher = dispatcher
         self.stats = stats
         self.on_unknown_outcome = on_unknown_outcome
@@ -80,7 +80,7 @@
         if req.path.startswith(KEYS_PATH):
             return await self._generate_key(req)
         path = split_path(req.path)
-        record = self.book.find(path['service'])
+        record = self.record_cache.find(path['service'])
         if record is None:
             return failure_response(_no_record_failure(req, path['service']))
         rule = classify(record, req.method, path['rest'])
@@ -100,7 +100,7 @@
 
     async def _generate_key(self, req: HttpRequest) -> HttpResponse:
         service = req.path.removeprefix(KEYS_PATH)
-        if self.book.find(service) is None or self.dispatcher.idempotency_router is None:
+        if self.record_cache.find(service) is None or self.dispatcher.idempotency_router is None:
             return failure_response(Failure(ErrorKind.UNKNOWN_SERVICE, service))
         if req.method != 'POST':
             return failure_response(Failure(ErrorKind.METHOD_NOT_ALLOWED, req.method))
@@ -193,12 +193,12 @@
         self,
         target: LocalTarget,
         running: RunningCalls,
-        book: RecordBook,
+        record_cache: RecordCache,
         dispatcher: Dispatcher,
     ) -> None:
         self.target = target
         self.running = running
-        self.book = book
+        self.record_cache = record_cache
         self.dispatcher = dispatcher
         self.target_changed = asyncio.Event()
 
@@ -227,7 +227,7 @@
 
     async def _forward(self, req: HttpRequest) -> HttpResponse:
         path = split_path(req.path)
-        record = self.book.find(path['service'])
+        record = self.record_cache.find(path['service'])
         if record is None:
             return failure_response(Failure(ErrorKind.UNKNOWN_SERVICE, path['service']))
         parent = self.running.find(req.header(b'dunlinsaddle-call'))
--- a/dunlinsaddle/managed_node.py
+++ b/dunlinsaddle/managed_node.py
@@ -1,8 +1,5 @@
 """What operators may ask of a node: the parts that their face and its queries look at."""
-
 import logging
-from typing import NamedTuple, Protocol
-
 from dunlinsaddle.calls.dispatch import Dispatcher
 from dunlinsaddle.calls.execute import Executor
 from dunlinsaddle.calls.idempotency import IdempotencyRouter
@@ -11,10 +8,11 @@
 from dunlinsaddle.metrics import Metrics
 from dunlinsaddle.platform.store import ObjectStore
 from dunlinsaddle.policy.admission import Admission
-from dunlinsaddle.records.book import RecordBook
+from dunlinsaddle.records.record_cache import RecordCache
 from dunlinsaddle.records.sync import RecordSync
 from dunlinsaddle.settings import Address, Settings
 from dunlinsaddle.stats import Stats
+from typing import NamedTuple, Protocol
 
 
 class ListenAddresses(NamedTuple):
@@ -34,7 +32,7 @@
     logger: logging.Logger
     addresses: ListenAddresses
     store: ObjectStore
-    book: RecordBook
+    record_cache: RecordCache
     sync: RecordSync
     view: MemberView
     target: LocalTarget
--- a/dunlinsaddle/mesh/ingress.py
+++ b/dunlinsaddle/mesh/ingress.py
@@ -14,7 +14,7 @@
 from dunlinsaddle.errors import ErrorKind, Failure, Outcome
 from dunlinsaddle.loops import LoopBound
 from dunlinsaddle.mesh.retries import AttemptAllowance
-from dunlinsaddle.platform.requests import CallerTerms, caller_response, read_terms, travelling_headers
+from dunlinsaddle.platform.requests import CallerHeaders, build_caller_response, build_forwarded_headers, read_caller_headers
 from dunlinsaddle.policy.admission import Load
 from dunlinsaddle.policy.context import CallContext, MAX_HOPS, priority_of
 from dunlinsaddle.policy.costs import RequestCosts
@@ -69,7 +69,7 @@
 
     async def handle(self, req: HttpRequest) -> HttpResponse:
         """Route one request and return its response."""
-        terms = read_terms(req)
+        terms = read_caller_headers(req)
         key_status_known = await self.authenticator.wait_for_key_status(terms)
         table = self.follower.table
         if table is None:
@@ -113,7 +113,7 @@
         elapsed = loop.time() - started_at
         self.decisions.log_completed(call, reply, elapsed, version)
         self.on_end(call, reply, elapsed)
-        return caller_response(reply, terms.request_id)
+        return build_caller_response(reply, terms.request_id)
 
     async def _dispatch(
         self, call: PendingCall, parent: RunningCall | None, holder: CallerOrganisation
@@ -158,7 +158,7 @@
     def _build_call(
         self,
         req: HttpRequest,
-        terms: CallerTerms,
+        terms: CallerHeaders,
         route: Route,
         parent: RunningCall | None,
         holder: CallerOrganisation,
@@ -166,7 +166,9 @@
         requires_key: bool,
     ) -> PendingCall:
         now = self.now()
-        time_left = DEFAULT_TIMEOUT_SECONDS if terms.time_left is None else terms.time_left
+        time_left = (
+            DEFAULT_TIMEOUT_SECONDS if terms.remaining_seconds is None else terms.remaining_seconds
+        )
         timeout = math.inf if route.timeout is None else route.timeout
         service = choose_service(route.weighted_services, self.rng)
         request_id = terms.request_id or str(uuid6.uuid7())
@@ -198,7 +200,7 @@
         )
         if parent is not None:
             ctx = _inherit(ctx, parent.call.ctx)
-        headers = travelling_headers(req, self.service, keyed=requires_key)
+        headers = build_forwarded_headers(req, self.service, keys_required=requires_key)
         allowance = AttemptAllowance(route.max_attempts - 1)
         return PendingCall(ctx, req.method, req.path, headers, req.body, allowance, WaitTime(), [])
 
@@ -221,10 +223,10 @@
 
 
 def _refusal_response(
-    terms: CallerTerms, kind: ErrorKind, retry_after: float = 0.0
+    terms: CallerHeaders, kind: ErrorKind, retry_after: float = 0.0
 ) -> HttpResponse:
     return _failure_response(terms, Failure(kind, '', retry_after))
 
 
-def _failure_response(terms: CallerTerms, failure: Failure) -> HttpResponse:
-    return caller_response(refusal(failure), terms.request_id)
+def _failure_response(terms: CallerHeaders, failure: Failure) -> HttpResponse:
+    return build_caller_response(refusal(failure), terms.request_id)
--- a/dunlinsaddle/mesh/metrics.py
+++ b/dunlinsaddle/mesh/metrics.py
@@ -16,7 +16,7 @@
 from dunlinsaddle.mesh.target_status import TargetStatus
 from dunlinsaddle.metrics import LabeledValues, Metrics, cumulative_buckets, observe_stats
 from dunlinsaddle.platform.client import HttpObjectStore
-from dunlinsaddle.platform.store import ObjectStore, place_of
+from dunlinsaddle.platform.store import ObjectStore, version_to_position
 from dunlinsaddle.policy.quota import QuotaLedger
 from dunlinsaddle.policy.retry_budget import RetryBudget
 from dunlinsaddle.policy.slots import SlotAdmission
@@ -112,13 +112,13 @@
             'dunlinsaddle.configuration_revision',
             '1',
             'Revision of the store up to which this node has all changes of the configuration.',
-            lambda: [(place_of(node.follower.store_version).revision, {})],
+            lambda: [(version_to_position(node.follower.store_version).revision, {})],
         )
         metrics.gauge(
             'dunlinsaddle.store_epoch',
             '1',
             'Epoch of that revision; increases each time the store is restored from a copy.',
-            lambda: [(place_of(node.follower.store_version).epoch, {})],
+            lambda: [(version_to_position(node.follower.store_version).epoch, {})],
         )
         metrics.gauge(
             'dunlinsaddle.members',
@@ -193,8 +193,8 @@
     def _ages(self) -> LabeledValues:
         last_message_at = {'target': self.node.heartbeat_endpoint.last_heartbeat_at}
         match self.node.store:
-            case HttpObjectStore(answered_at=answered_at):
-                last_message_at['platform'] = answered_at
+            case HttpObjectStore(last_response_at=last_response_at):
+                last_message_at['platform'] = last_response_at
         return [
             (_now() - at, {'of': name}) for name, at in last_message_at.items() if at > -math.inf
         ]
--- a/dunlinsaddle/mesh/target_protocol.py
+++ b/dunlinsaddle/mesh/target_protocol.py
@@ -1,10 +1,9 @@
 """HTTP protocol that the platform's targets expect: request headers and response checks."""
-
 from dunlinsaddle.calls.call_state import PendingCall, RunningCall
 from dunlinsaddle.calls.http import HttpResponse
 from dunlinsaddle.calls.messages import Headers, Reply
 from dunlinsaddle.calls.target import AdvertisedState, LocalTarget
-from dunlinsaddle.platform.requests import answers, read_answer, read_said, target_headers
+from dunlinsaddle.platform.requests import build_attempt_headers, decode_reply, matches_request, read_advertised_state
 
 
 class MeshTargetProtocol:
@@ -16,16 +15,16 @@
     def request_headers(self, call: PendingCall, running: RunningCall, seconds: float) -> Headers:
         """Return the caller's headers with the remaining time and the expected incarnation."""
         organisation = call.ctx.organisation
-        return target_headers(call.headers, seconds, self.target.target_id, organisation)
+        return build_attempt_headers(call.headers, seconds, self.target.target_id, organisation)
 
     def matches_request(self, call: PendingCall, headers: Headers) -> bool:
         """Return whether a response names this request, or no request at all."""
-        return answers(call.ctx.request_id, headers)
+        return matches_request(call.ctx.request_id, headers)
 
     def read_reply(self, response: HttpResponse) -> Reply:
         """Convert a complete response to a reply."""
-        return read_answer(response)
+        return decode_reply(response)
 
     def read_advertised_state(self, response: HttpResponse) -> AdvertisedState | None:
         """Return the target's status from a response; None unless this target sent it."""
-        return read_said(response, self.target.target_id)
+        return read_advertised_state(response, self.target.target_id)
--- a/dunlinsaddle/metrics.py
+++ b/dunlinsaddle/metrics.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable, Iterable, Mapping, Sequence
 from dunlinsaddle import __version__
 from dunlinsaddle.calls.idempotency import IdempotencyRouter
-from dunlinsaddle.records.book import RecordBook
+from dunlinsaddle.records.record_cache import RecordCache
 from dunlinsaddle.stats import QUEUE_TIME_BOUNDS, Stats
 from itertools import accumulate
 from opentelemetry.exporter.otlp.proto.http.metric_exporter import OTLPMetricExporter
@@ -129,19 +129,19 @@
         metrics.counter(f'dunlinsaddle.{name}', unit, description, _field(stats, name))
 
 
-def observe_records(metrics: Metrics, book: RecordBook) -> None:
+def observe_records(metrics: Metrics, record_cache: RecordCache) -> None:
     """Add the instruments of the records in force."""
     metrics.gauge(
         'dunlinsaddle.record_version',
         '1',
         'Version of each record in force.',
-        lambda: [(e.version, {'service': e.service}) for e in book.entries()],
+        lambda: [(e.version, {'service': e.service}) for e in record_cache.entries()],
     )
     metrics.gauge(
         'dunlinsaddle.records_unreadable',
         '{record}',
         'Newer versions of records that cannot be read here.',
-        lambda: [(len(book.unreadable), {})],
+        lambda: [(len(record_cache.unreadable), {})],
     )
 
 
--- a/dunlinsaddle/node.py
+++ b/dunlinsaddle/node.py
@@ -36,8 +36,8 @@
 from dunlinsaddle.policy.ownership import ListenerIdentity, Owner
 from dunlinsaddle.policy.quarantine import Quarantine
 from dunlinsaddle.policy.route import Router
-from dunlinsaddle.records.book import RecordBook
 from dunlinsaddle.records.models import Mode
+from dunlinsaddle.records.record_cache import RecordCache
 from dunlinsaddle.records.sync import RecordSync
 from dunlinsaddle.settings import Settings
 from dunlinsaddle.stats import Stats
@@ -63,7 +63,7 @@
         self.logger = logger
         self.incarnation = int(env.wall_clock() * 1000)
         self.stats = Stats()
-        self.book = RecordBook(wall_clock=env.wall_clock)
+        self.record_cache = RecordCache(wall_clock=env.wall_clock)
         self.view = MemberView(self._member_changed)
         self.target = LocalTarget()
         self.running = RunningCalls()
@@ -132,7 +132,7 @@
         return LocalService(self.target.service, self.target.draining)
 
     def _key_window(self, service: str) -> float:
-        record = self.book.find(service)
+        record = self.record_cache.find(service)
         return record.key_window if record else DEFAULT_KEY_WINDOW_SECONDS
 
     def _build_faces(self, link_limits: LinkLimits) -> None:
@@ -144,9 +144,11 @@
             cfg.header_timeout,
             cfg.idle_timeout,
         )
-        callers = CallerHandler(self.book, self.dispatcher, self.stats, self._outcome_unknown)
+        callers = CallerHandler(
+            self.record_cache, self.dispatcher, self.stats, self._outcome_unknown
+        )
         self.local_handler = LocalTargetHandler(
-            self.target, self.running, self.book, self.dispatcher
+            self.target, self.running, self.record_cache, self.dispatcher
         )
         operators = OperatorHandler(self, self.env.wall_clock)
         self.callers_listener = HttpListener(callers.handle, limits, self._fault)
@@ -157,9 +159,9 @@
     def _build_sync(self) -> RecordSync:
         rng = Random(self.env.rng.random())
         sync = RecordSync(
-            self.book, self.store, self.view, self.links, self.local_member, rng, self.logger
+            self.record_cache, self.store, self.view, self.links, self.local_member, rng, self.logger
         )
-        self.peer_server.on_records = sync.take
+        self.peer_server.on_records = sync.handle_frame
         self.peer_server.on_deaths = self.crash_notifier.receive
         self.peer_server.on_keys = partial(take_over_keys, self.idempotency_router.tables)
         return sync
@@ -174,7 +176,7 @@
         }
         metrics = Metrics(resource, cfg.otlp_endpoint)
         observe_stats(metrics, self.stats)
-        observe_records(metrics, self.book)
+        observe_records(metrics, self.record_cache)
         metrics.gauge('dunlinsaddle.load', '{call}', 'Load of the target.', self._load_values)
         observe_keys(metrics, self.idempotency_router, lambda: self.target.service)
         metrics.counter(
@@ -285,7 +287,7 @@
         self.logger.log(level, 'member changed', extra=extra)
 
     def _observes(self, service: str) -> bool:
-        record = self.book.find(service)
+        record = self.record_cache.find(service)
         return record is not None and record.mode is Mode.OBSERVE
 
     def _warned_of_deaths(self) -> list[Member]:
@@ -300,7 +302,7 @@
         self.admission.reset_after_restart(asyncio.get_running_loop().time())
 
     def _configure(self) -> None:
-        record = self.book.find(self.target.service)
+        record = self.record_cache.find(self.target.service)
         if record is not None:
             self.admission.configure(record)
 
--- a/dunlinsaddle/platform/client.py
+++ b/dunlinsaddle/platform/client.py
@@ -14,36 +14,39 @@
 from dunlinsaddle.calls.http import HttpRequest, HttpResponse
 from dunlinsaddle.platform.store import (
     ABSENT,
-    WATCH_GRACE,
+    WATCH_GRACE_SECONDS,
     Conflict,
     JsonValue,
     Listing,
-    Place,
     StoredObject,
     StoreError,
+    StorePosition,
     Unavailable,
-    place_of,
-    version_of,
+    position_to_version,
+    version_to_position,
 )
 from dunlinsaddle.settings import Address
 
-CALL_TIMEOUT = 5.0  #: a slow platform still serves; one that is away fails to connect sooner
-LONGEST_WAIT_MS = 30_000  #: the longest watch that the store allows
+#: A slow platform still answers within it; connections to one that is down fail sooner.
+CALL_TIMEOUT_SECONDS = 5.0
+MAX_WATCH_MS = 30_000  #: the longest watch that the store allows
 EPOCH_HEADER = b'store-era'  #: of each answer; rises each time the store returns from a copy
-EPOCH_DIGITS = 6  #: a bound against absurd numbers, which no peer could be told
-FIRST_REFUSAL = 410  #: from here on a status says that the store did nothing; 410 is a watch's
+MAX_EPOCH_DIGITS = 6  #: a bound against absurd numbers, which no peer could be told
+MIN_REFUSAL_STATUS = 410  #: from here on a status says that the store did nothing; 410 is a watch's
 
 
 class HttpObjectStore:
     """Reads and writes objects through the platform's HTTP API."""
 
-    def __init__(self, address: Address, client: HttpClient, timeout: float = CALL_TIMEOUT) -> None:
+    def __init__(
+        self, address: Address, client: HttpClient, timeout: float = CALL_TIMEOUT_SECONDS
+    ) -> None:
         self.address = address
         self.client = client
         self.timeout = timeout
         self.calls = 0
         self.failures: Counter[str] = Counter()  #: calls without a usable answer, by why
-        self.answered_at = -math.inf  #: time of the loop of the latest answer
+        self.last_response_at = -math.inf  #: time of the loop of the latest answer
         self.epoch = 0  #: the latest that an answer told
 
     async def get(self, kind: str, name: str) -> Result[StoredObject | None, Unavailable]:
@@ -89,35 +92,35 @@
         if expected == ABSENT:
             body = msgspec.json.encode({'metadata': meta, 'specification': value})
             return await self._changed(kind, name, 'POST', _path(kind), body)
-        place = place_of(expected)
+        position = version_to_position(expected)
         body = msgspec.json.encode(
-            {'metadata': {**meta, 'revision': place.revision}, 'specification': value}
+            {'metadata': {**meta, 'revision': position.revision}, 'specification': value}
         )
-        return await self._changed(kind, name, 'PUT', _path(kind, name), body, place)
+        return await self._changed(kind, name, 'PUT', _path(kind, name), body, position)
 
     async def delete(self, kind: str, name: str, expected: int) -> Result[StoredObject, StoreError]:
         """Delete on the condition that the version is ``expected``."""
-        place = place_of(expected)
-        path = f'{_path(kind, name)}?revision={place.revision}'
-        match await self._changed(kind, name, 'DELETE', path, b'', place):
+        position = version_to_position(expected)
+        path = f'{_path(kind, name)}?revision={position.revision}'
+        match await self._changed(kind, name, 'DELETE', path, b'', position):
             case Ok(held):
                 return Ok(held._replace(value=None))
             case failed:
                 return failed
 
     async def watch(
-        self, kind: str, since: int, timeout: float, grace: float = WATCH_GRACE
+        self, kind: str, since: int, timeout: float, grace: float = WATCH_GRACE_SECONDS
     ) -> Result[Listing, Unavailable]:
         """Wait for something newer than ``since``; 0 and a forgotten past read all anew."""
-        place = place_of(since)
-        if since <= 0 or place.epoch < self.epoch:
+        position = version_to_position(since)
+        if since <= 0 or position.epoch < self.epoch:
             return await self._list(kind, timeout + grace)
-        wait_ms = min(int(timeout * 1000), LONGEST_WAIT_MS)
-        path = f'{_path(kind)}?watch={place.revision}&waitMs={wait_ms}'
+        wait_ms = min(int(timeout * 1000), MAX_WATCH_MS)
+        path = f'{_path(kind)}?watch={position.revision}&waitMs={wait_ms}'
         # It waits long on purpose: it must not be taken for overdue and sent once more.
         match await self._send('GET', path, timeout=timeout + grace, repeats=False):
-            case Ok(HttpResponse(status=200) as response) if _epoch(response) == place.epoch:
-                return _decoded(response, _Changes).map(lambda c: c.plain(kind, place.epoch))
+            case Ok(HttpResponse(status=200) as response) if _epoch(response) == position.epoch:
+                return _decoded(response, _Changes).map(lambda c: c.plain(kind, position.epoch))
             case Ok(HttpResponse(status=200 | 410)):
                 # Not in the history, or of another epoch, in which the same revision stands for
                 # other changes and would hide some.
@@ -132,7 +135,7 @@
         method: str,
         path: str,
         body: bytes,
-        expected: Place | None = None,
+        expected: StorePosition | None = None,
     ) -> Result[StoredObject, StoreError]:
         if expected is not None and expected.epoch < self.epoch:
             # Its revision may have been given out again, to another writer's change.
@@ -169,9 +172,9 @@
         )
         match exchange:
             case Answered(response):
-                self.answered_at = asyncio.get_running_loop().time()
+                self.last_response_at = asyncio.get_running_loop().time()
                 self.epoch = max(self.epoch, _epoch(response))
-                if response.status >= FIRST_REFUSAL:
+                if response.status >= MIN_REFUSAL_STATUS:
                     self.failures[str(response.status)] += 1
                 return Ok(response)
             case failed:
@@ -198,7 +201,7 @@
     specification: Any = None
 
     def plain(self, kind: str, epoch: int) -> StoredObject:
-        version = version_of(Place(epoch, self.metadata.revision))
+        version = position_to_version(StorePosition(epoch, self.metadata.revision))
         return StoredObject(kind, self.metadata.name, version, self.specification)
 
 
@@ -222,7 +225,7 @@
         for event in self.events:
             for held in _readable(kind, epoch, event.object):
                 objects.append(held._replace(value=None) if event.removed else held)
-        return Listing(objects, version_of(Place(epoch, self.at_revision)))
+        return Listing(objects, position_to_version(StorePosition(epoch, self.at_revision)))
 
 
 class _Page(msgspec.Struct):
@@ -234,7 +237,7 @@
 def _epoch(response: HttpResponse) -> int:
     """Read the epoch of an answer, 0 where it tells none."""
     told = dict(response.headers).get(EPOCH_HEADER, b'')
-    return int(told) if told.isdigit() and len(told) <= EPOCH_DIGITS else 0
+    return int(told) if told.isdigit() and len(told) <= MAX_EPOCH_DIGITS else 0
 
 
 def _readable(kind: str, epoch: int, raw: msgspec.Raw) -> list[StoredObject]:
@@ -256,7 +259,7 @@
             return _decoded(response, _WirePage).map(
                 lambda page: _Page(
                     [held for raw in page.items for held in _readable(kind, epoch, raw)],
-                    version_of(Place(epoch, page.at_revision)),
+                    position_to_version(StorePosition(epoch, page.at_revision)),
                     page.more,
                 )
             )
--- a/dunlinsaddle/platform/configuration.py
+++ b/dunlinsaddle/platform/configuration.py
@@ -1,22 +1,11 @@
 """The operators' configuration, an object in the platform's store."""
-
-from typing import Annotated, Any, Literal
-
 import msgspec
+from dunlinsaddle.access.keys import key_digest
+from dunlinsaddle.platform.units import parse_seconds, parse_version
+from dunlinsaddle.routes.models import Configuration, Limits, Organisation, Quota, Route, ServiceSettings, WeightedService
 from msgspec import Meta
 from result import Err, Ok, Result
-
-from dunlinsaddle.access.keys import key_digest
-from dunlinsaddle.platform.units import read_seconds, read_version
-from dunlinsaddle.routes.models import (
-    Configuration,
-    Limits,
-    Organisation,
-    Quota,
-    Route,
-    ServiceSettings,
-    WeightedService,
-)
+from typing import Annotated, Any, Literal
 
 KIND = 'config'
 NAME = 'main'
@@ -101,7 +90,7 @@
             case 'limits':
                 limits = _limits(msgspec.json.decode(raw, type=_Limits))
     _check_holders(organisations)
-    version = read_version(document.version)
+    version = parse_version(document.version)
     return Configuration(version, tuple(routes), services, limits, tuple(organisations))
 
 
@@ -118,8 +107,8 @@
         host=found.host.lower(),
         prefix=found.path_prefix,
         idempotent=found.kind != 'unsafe',
-        timeout=read_seconds(found.timeout) if found.timeout else None,
-        latency_objective=read_seconds(found.target_latency) if found.target_latency else None,
+        timeout=parse_seconds(found.timeout) if found.timeout else None,
+        latency_objective=parse_seconds(found.target_latency) if found.target_latency else None,
         max_attempts=found.attempts,
         priority=found.priority,
         weighted_services=weighted_services,
@@ -150,6 +139,6 @@
     return Limits(
         found.max_header_bytes,
         found.max_body_bytes,
-        read_seconds(found.header_timeout),
-        read_seconds(found.idle_timeout),
+        parse_seconds(found.header_timeout),
+        parse_seconds(found.idle_timeout),
     )
--- a/dunlinsaddle/platform/headers.py
+++ b/dunlinsaddle/platform/headers.py
@@ -2,23 +2,23 @@
 
 REQUEST_ID = b'request-id'
 #: Whole milliseconds that the sender will still wait, not a moment in time.
-TIME_LEFT = b'deadline-milliseconds'
+REMAINING_MILLISECONDS = b'deadline-milliseconds'
 #: Set by targets on every answer of their own; an answer without it was made on the way.
-SIGNATURE = b'server-signature'
+SERVER_SIGNATURE = b'server-signature'
 #: The id of the only target incarnation that may run the request.
 EXPECTED_TARGET = b'expected-instance'
 #: The id of the target incarnation that answers; despite its name not an instance of ours.
 TARGET_ID = b'instance'
-NOT_RUN = b'not-executed'
+NOT_EXECUTED = b'not-executed'
 #: Requests a second, a decimal number, that the target takes from all instances together; a rate,
 #: despite its name not a limit of calls that run at once.
-RATE = b'server-limit'
+RATE_LIMIT = b'server-limit'
 #: ``1`` on every answer of a target that leaves.
-LEAVING = b'server-leaving'
+SERVER_LEAVING = b'server-leaving'
 #: The service of the instance where the request began.
-ORIGIN = b'caller-service'
+CALLER_SERVICE = b'caller-service'
 RETRY_AFTER = b'retry-after'
 #: Carries the caller's key as ``Bearer KEY``.
-KEY = b'authorization'
+AUTHORIZATION = b'authorization'
 #: The name of the organisation that holds the caller's key, set for targets.
 ORGANISATION = b'tenant'
--- a/dunlinsaddle/platform/heartbeats.py
+++ b/dunlinsaddle/platform/heartbeats.py
@@ -1,18 +1,15 @@
 """Heartbeats of the target beside a node, as they arrive at its address for them."""
-
-from typing import Annotated, Literal
-from urllib.parse import unquote
-
 import msgspec
-from msgspec import Meta
-from result import Err, Ok, Result
-
 from dunlinsaddle.calls.http import HttpRequest, HttpResponse, json_response
 from dunlinsaddle.mesh.heartbeats import Deregistration, Heartbeat
-from dunlinsaddle.platform.units import read_seconds
+from dunlinsaddle.platform.units import parse_seconds
 from dunlinsaddle.settings import parse_address
+from msgspec import Meta
+from result import Err, Ok, Result
+from typing import Annotated, Literal
+from urllib.parse import unquote
 
-PATH = '/instances/'
+INSTANCES_PATH = '/instances/'
 
 
 class _Beat(msgspec.Struct, rename='camel'):
@@ -28,8 +25,8 @@
 def read_heartbeat(req: HttpRequest) -> Result[Heartbeat | Deregistration, str]:
     """Decode one request to the address for heartbeats; Err says what is wrong with it."""
     path = req.path.partition('?')[0]
-    target_id = unquote(path.removeprefix(PATH))
-    if not path.startswith(PATH) or not target_id or '/' in target_id:
+    target_id = unquote(path.removeprefix(INSTANCES_PATH))
+    if not path.startswith(INSTANCES_PATH) or not target_id or '/' in target_id:
         return Err(f'no such path: {req.path}')
     if req.method == 'DELETE':
         return Ok(Deregistration(target_id))
@@ -44,7 +41,7 @@
                 address=parse_address(beat.address),
                 slots=beat.slots,
                 draining=beat.state == 'draining',
-                warmup_seconds=read_seconds(beat.cold_remaining),
+                warmup_seconds=parse_seconds(beat.cold_remaining),
                 started_at_ms=beat.born,
                 sequence=beat.sequence,
             )
--- a/dunlinsaddle/platform/node_file.py
+++ b/dunlinsaddle/platform/node_file.py
@@ -1,16 +1,13 @@
 """The settings file that the platform writes for each process."""
-
-from typing import Any
-
 import msgspec
-from result import Err, Ok, Result
-
 from dunlinsaddle.mesh.settings import DeploymentLimits, MeshSettings
-from dunlinsaddle.platform.units import read_seconds
+from dunlinsaddle.platform.units import parse_seconds
 from dunlinsaddle.settings import SettingError, parse_address
+from result import Err, Ok, Result
+from typing import Any
 
-PEERS_PORT = 0  #: offset into the range of internal ports
-GOSSIP_PORT = 1
+PEERS_PORT_OFFSET = 0  #: offset into the range of internal ports
+GOSSIP_PORT_OFFSET = 1
 #: The port that deploy/system.toml names: the file is written before a day's range is known.
 #: 9464 is the usual one of OpenTelemetry's exporter.
 METRICS_PORT = 9464
@@ -60,22 +57,22 @@
         callers=parse_address(found.listen.outbound),
         ready=parse_address(found.listen.ready),
         announce=parse_address(found.listen.control),
-        peers=parse_address(f'{host}:{first_port + PEERS_PORT}'),
-        gossip=parse_address(f'{host}:{first_port + GOSSIP_PORT}'),
+        peers=parse_address(f'{host}:{first_port + PEERS_PORT_OFFSET}'),
+        gossip=parse_address(f'{host}:{first_port + GOSSIP_PORT_OFFSET}'),
         metrics=parse_address(f'{host}:{METRICS_PORT}'),
         target=parse_address(found.app_address),
         service=found.service,
         platform=parse_address(found.platform.address),
         limits=DeploymentLimits(
-            drain_seconds=read_seconds(bounds['drain']),
-            grace_seconds=read_seconds(bounds['grace']),
+            drain_seconds=parse_seconds(bounds['drain']),
+            grace_seconds=parse_seconds(bounds['grace']),
             retry_ratio=float(bounds['retryBudgetRatio']),
             extra_retries=float(bounds['retryBudgetExtra']),
-            retry_window_seconds=read_seconds(bounds['budgetWindow']),
+            retry_window_seconds=parse_seconds(bounds['budgetWindow']),
             quota_slack=float(bounds.get('quotaSlack', 0.0)),
             quota_overage=float(bounds.get('quotaOverage', 0.0)),
-            quota_window_seconds=read_seconds(bounds.get('quotaWindow', '5s')),
-            revocation_seconds=read_seconds(bounds['revoke'])
+            quota_window_seconds=parse_seconds(bounds.get('quotaWindow', '5s')),
+            revocation_seconds=parse_seconds(bounds['revoke'])
             if bounds.get('revokeEverywhere')
             else None,
         ),
--- a/dunlinsaddle/platform/requests.py
+++ b/dunlinsaddle/platform/requests.py
@@ -1,20 +1,18 @@
 """Requests and answers as callers and targets of the platform write them."""
-
 import math
 import re
-from typing import NamedTuple
-
 from dunlinsaddle.access.keys import key_digest
 from dunlinsaddle.calls.http import HttpRequest, HttpResponse, forwarded_headers
 from dunlinsaddle.calls.messages import Headers, Reply, refusal
-from dunlinsaddle.calls.target import NOTHING_ADVERTISED, AdvertisedState
+from dunlinsaddle.calls.target import AdvertisedState, NOTHING_ADVERTISED
 from dunlinsaddle.errors import ErrorKind, Failure, Outcome
 from dunlinsaddle.platform import headers as names
+from typing import NamedTuple
 
-_SET_HERE = frozenset({names.TIME_LEFT, names.ORIGIN, names.EXPECTED_TARGET})
+_SET_HERE = frozenset({names.REMAINING_MILLISECONDS, names.CALLER_SERVICE, names.EXPECTED_TARGET})
 #: Headers that end at the entry where callers need a key: the key itself must not leave it, and a
 #: caller must not name another organisation than its own.
-_SET_HERE_KEYED = _SET_HERE | {names.KEY, names.ORGANISATION}
+_SET_HERE_KEYED = _SET_HERE | {names.AUTHORIZATION, names.ORGANISATION}
 _BEARER = 'bearer '
 WRONG_TARGET = 421
 _DECIMAL = re.compile(r'[0-9]{1,9}(\.[0-9]{1,9})?', re.ASCII)
@@ -22,19 +20,21 @@
 FIRST_SUCCESS, LAST_SUCCESS = 200, 299
 
 
-class CallerTerms(NamedTuple):
+class CallerHeaders(NamedTuple):
     """What a caller says of its own request."""
 
     request_id: str
-    time_left: float | None  #: seconds that the caller will still wait
-    key: bytes = b''  #: the digest of its key, empty where it shows none
+    remaining_seconds: float | None  #: seconds that the caller will still wait
+    key_digest: bytes = b''  #: the digest of its key, empty where it shows none
 
 
-def read_terms(req: HttpRequest) -> CallerTerms:
+def read_caller_headers(req: HttpRequest) -> CallerHeaders:
     """Read a caller's headers; a time that cannot be read counts as none."""
-    text = req.header(names.TIME_LEFT)
-    time_left = int(text) / 1000 if text.isdecimal() else None
-    return CallerTerms(req.header(names.REQUEST_ID), time_left, _digest(req.header(names.KEY)))
+    text = req.header(names.REMAINING_MILLISECONDS)
+    remaining_seconds = int(text) / 1000 if text.isdecimal() else None
+    return CallerHeaders(
+        req.header(names.REQUEST_ID), remaining_seconds, _digest(req.header(names.AUTHORIZATION))
+    )
 
 
 def _digest(authorization: str) -> bytes:
@@ -43,30 +43,32 @@
     return key_digest(authorization[len(_BEARER) :].strip())
 
 
-def travelling_headers(req: HttpRequest, origin: str, *, keyed: bool) -> Headers:
+def build_forwarded_headers(req: HttpRequest, origin: str, *, keys_required: bool) -> Headers:
     """Give the headers that go on to the target, with the service of the origin.
 
-    Where callers need a key, ``keyed``, neither the key nor a name that they gave goes on.
+    Where callers need a key, ``keys_required``, neither the key nor a name that they gave goes on.
     """
-    ended = _SET_HERE_KEYED if keyed else _SET_HERE
+    ended = _SET_HERE_KEYED if keys_required else _SET_HERE
     kept = [(n, v) for n, v in forwarded_headers(req.headers) if n not in ended]
     return [
         (b'host', req.header(b'host').encode('latin-1')),
         *kept,
-        (names.ORIGIN, origin.encode()),
+        (names.CALLER_SERVICE, origin.encode()),
     ]
 
 
-def target_headers(headers: Headers, seconds: float, target_id: str, organisation: str) -> Headers:
+def build_attempt_headers(
+    headers: Headers, seconds: float, target_id: str, organisation: str
+) -> Headers:
     """Give the headers of one attempt at a target; ``organisation`` is empty for none."""
     left = str(max(math.floor(seconds * 1000), 1)).encode()
-    own = [(names.TIME_LEFT, left), (names.EXPECTED_TARGET, target_id.encode())]
+    own = [(names.REMAINING_MILLISECONDS, left), (names.EXPECTED_TARGET, target_id.encode())]
     if organisation:
         own.append((names.ORGANISATION, organisation.encode()))
     return [*headers, *own]
 
 
-def answers(request_id: str, headers: Headers) -> bool:
+def matches_request(request_id: str, headers: Headers) -> bool:
     """Say whether an answer belongs to a request; one that names none is taken for it."""
     for name, value in headers:
         if name == names.REQUEST_ID:
@@ -74,14 +76,14 @@
     return True
 
 
-def read_answer(response: HttpResponse) -> Reply:
+def decode_reply(response: HttpResponse) -> Reply:
     """Tell what a target's whole answer says of the work."""
     found = dict(response.headers)
-    if names.NOT_RUN in found or response.status == WRONG_TARGET:
+    if names.NOT_EXECUTED in found or response.status == WRONG_TARGET:
         kind = ErrorKind.NO_TARGET if response.status == WRONG_TARGET else ErrorKind.TARGET_REFUSED
         return refusal(Failure(kind, f'the target answered {response.status}', 1.0))
     success = FIRST_SUCCESS <= response.status <= LAST_SUCCESS
-    if success and (names.SIGNATURE not in found or names.REQUEST_ID not in found):
+    if success and (names.SERVER_SIGNATURE not in found or names.REQUEST_ID not in found):
         return refusal(Failure(ErrorKind.INCOMPLETE_ANSWER, 'the answer is not signed'))
     if b'content-encoding' in found:
         # Callers ask for none: something on the way has changed the body.
@@ -90,7 +92,7 @@
     return Reply(0, response.status, kept, response.body, Outcome.DONE)
 
 
-def read_said(response: HttpResponse, target_id: str) -> AdvertisedState | None:
+def read_advertised_state(response: HttpResponse, target_id: str) -> AdvertisedState | None:
     """Tell what an answer says of the target; None unless that target has made it, unchanged.
 
     Of several rates the lowest counts. A rate that cannot be read says nothing.
@@ -99,19 +101,21 @@
     # What took over the address of a target that has gone answers so, and speaks for itself.
     if response.status == WRONG_TARGET or b'content-encoding' in found:
         return None
-    if names.SIGNATURE not in found and names.NOT_RUN not in found:
+    if names.SERVER_SIGNATURE not in found and names.NOT_EXECUTED not in found:
         return None
     if found.get(names.TARGET_ID, b'').decode('latin-1') not in ('', target_id):
         return None
-    leaving = found.get(names.LEAVING) == b'1'
-    if names.RATE not in found:
+    leaving = found.get(names.SERVER_LEAVING) == b'1'
+    if names.RATE_LIMIT not in found:
         return AdvertisedState(leaving=leaving) if leaving else NOTHING_ADVERTISED
-    texts = [value.decode('latin-1') for name, value in response.headers if name == names.RATE]
+    texts = [
+        value.decode('latin-1') for name, value in response.headers if name == names.RATE_LIMIT
+    ]
     rates = [float(text) for text in texts if _DECIMAL.fullmatch(text)]
     return AdvertisedState(min(rates, default=None), leaving, None if rates else texts[0][:_SHOWN])
 
 
-def caller_response(reply: Reply, request_id: str) -> HttpResponse:
+def build_caller_response(reply: Reply, request_id: str) -> HttpResponse:
     """Give the response that carries a reply to a caller.
 
     Retry-After goes out with three decimals: callers take fractions, and a whole second is
--- a/dunlinsaddle/platform/store.py
+++ b/dunlinsaddle/platform/store.py
@@ -8,10 +8,10 @@
 JsonValue = Any  #: whatever JSON can hold
 #: Versions of one epoch: a year's at 30,000 changes a second, and a power of ten, so that people
 #: can read both parts of a version.
-EPOCH_VERSIONS = 10**12
+VERSIONS_PER_EPOCH = 10**12
 
 
-class Place(NamedTuple):
+class StorePosition(NamedTuple):
     """A place in the history of the store, as the store tells it.
 
     The store's counter goes back when the store returns from an older copy, and gives its values
@@ -22,24 +22,24 @@
     revision: int
 
 
-def version_of(place: Place) -> int:
+def position_to_version(position: StorePosition) -> int:
     """Give the version of a place: one number that never goes back, in any epoch.
 
     What was read before the store returned from a copy has a lower version than all that is
     read afterwards, also what the copy held all the time.
     """
-    return place.epoch * EPOCH_VERSIONS + place.revision
+    return position.epoch * VERSIONS_PER_EPOCH + position.revision
 
 
-def place_of(version: int) -> Place:
+def version_to_position(version: int) -> StorePosition:
     """Give the place of a version."""
-    return Place(*divmod(version, EPOCH_VERSIONS))
+    return StorePosition(*divmod(version, VERSIONS_PER_EPOCH))
 
 
 class StoredObject(NamedTuple):
     """An object with its version; ``value`` is None once it is deleted.
 
-    Of two versions the higher is always the later one, see ``version_of``.
+    Of two versions the higher is always the later one, see ``position_to_version``.
     """
 
     kind: str
@@ -70,7 +70,7 @@
 
 
 StoreError = Conflict | Unavailable
-WATCH_GRACE = 2.0
+WATCH_GRACE_SECONDS = 2.0
 ABSENT = 0  #: as an expected version: the object must not exist
 
 
@@ -94,7 +94,7 @@
         """Delete on the condition that the version is ``expected``."""
 
     async def watch(
-        self, kind: str, since: int, timeout: float, grace: float = WATCH_GRACE
+        self, kind: str, since: int, timeout: float, grace: float = WATCH_GRACE_SECONDS
     ) -> Result[Listing, Unavailable]:
         """Wait until something of a kind is newer than ``since``; empty after ``timeout`` s.
 
--- a/dunlinsaddle/platform/units.py
+++ b/dunlinsaddle/platform/units.py
@@ -1,7 +1,7 @@
 """Units of the platform's bodies: times as text, configuration versions with a letter."""
 
 
-def read_seconds(text: object) -> float:
+def parse_seconds(text: object) -> float:
     """Read a time such as ``1500ms`` or ``2.5s``, in seconds. Raises ValueError.
 
     >>> read_seconds('1500ms')
@@ -20,7 +20,7 @@
     return seconds
 
 
-def read_version(text: object) -> int:
+def parse_version(text: object) -> int:
     """Read a configuration version such as ``r12``. Raises ValueError.
 
     >>> read_version('r12')
--- a/dunlinsaddle/queries.py
+++ b/dunlinsaddle/queries.py
@@ -35,7 +35,7 @@
 
 def explain_request(node: ManagedNode, question: ExplainRequest) -> Explanation | None:
     """Explain what would happen to a request at a node; None without a record."""
-    record = node.book.find(question['service'])
+    record = node.record_cache.find(question['service'])
     if record is None:
         return None
     now = asyncio.get_running_loop().time()
--- a/dunlinsaddle/records/changes.py
+++ b/dunlinsaddle/records/changes.py
@@ -21,18 +21,18 @@
     RECORDS,
     ChangeEntry,
     RecordObject,
+    archive_oldest_entries,
     entries_after,
-    make_room,
-    object_of,
-    readable,
-    version_after,
+    is_history_readable,
+    read_record_object,
+    resulting_version,
 )
 from dunlinsaddle.records.models import RecordEntry
-from dunlinsaddle.records.schema import NEWEST_SCHEMA, decode_entry, schema_of
+from dunlinsaddle.records.schema import NEWEST_SCHEMA, decode_entry, schema_version_of
 
-WRITE_TRIES = 3
-COME_BACK = 1.0
-MAX_TEXT = 500
+MAX_WRITE_ATTEMPTS = 3
+RETRY_AFTER_SECONDS = 1.0
+MAX_TEXT_LENGTH = 500
 
 
 class Change(NamedTuple):
@@ -76,37 +76,37 @@
     clash: Clash | None = None
 
 
-def entry_of(held: StoredObject) -> RecordEntry:
+def entry_from_object(held: StoredObject) -> RecordEntry:
     """Give the document that an object of the platform holds."""
     value = held.value
     doc = value.get('record') if isinstance(value, dict) else value
     return RecordEntry(held.name, held.version, doc)
 
 
-def check_change(
-    change: Change, held: StoredObject | None, newest: int = NEWEST_SCHEMA
+def validate_change(
+    change: Change, held: StoredObject | None, newest_schema: int = NEWEST_SCHEMA
 ) -> Failure | None:
     """Say what is wrong with a change, whatever the versions."""
     texts = (('id', change.id), ('who', change.who), ('why', change.why))
     for name, text in texts:
-        if len(text) > MAX_TEXT or (name != 'why' and not text.strip()):
-            detail = f'{name}: expected 1 to {MAX_TEXT} characters'
+        if len(text) > MAX_TEXT_LENGTH or (name != 'why' and not text.strip()):
+            detail = f'{name}: expected 1 to {MAX_TEXT_LENGTH} characters'
             return Failure(ErrorKind.INVALID_RECORD, detail)
     if change.doc is None:
         return None
-    checked = decode_entry(RecordEntry(change.service, 0, change.doc), newest)
+    checked = decode_entry(RecordEntry(change.service, 0, change.doc), newest_schema)
     if isinstance(checked, Err):
         return checked.err_value
-    stored = schema_of(entry_of(held).doc) if held else 0
+    stored = schema_version_of(entry_from_object(held).doc) if held else 0
     # An older tool does not know the newer fields and would drop them without a word.
-    if schema_of(change.doc) < stored and not change.downgrade:
+    if schema_version_of(change.doc) < stored and not change.downgrade:
         detail = f'schema {stored} stands there: write that, or ask for the downgrade'
         return Failure(ErrorKind.NEWER_SCHEMA, detail)
     return None
 
 
 async def apply_change(
-    store: ObjectStore, change: Change, newest: int = NEWEST_SCHEMA
+    store: ObjectStore, change: Change, newest_schema: int = NEWEST_SCHEMA
 ) -> Result[Accepted, Rejected]:
     """Write a change on its condition, at most once however often it is sent.
 
@@ -115,30 +115,32 @@
     write can meet a version.
     """
     detail = ''
-    for _ in range(WRITE_TRIES):
+    for _ in range(MAX_WRITE_ATTEMPTS):
         match await store.get(RECORDS, change.service):
             case Ok(held):
                 pass
             case Err(error):
                 return Err(_unavailable(error.detail))
-        decided = _decide(change, held, newest)
+        decided = _decide(change, held, newest_schema)
         if decided is not None:
             return decided
         match await _write(store, change, held):
             case Ok(stored):
                 return Ok(_accepted(change, stored, settled=False))
             case Err(Conflict(current)):
-                return _decide(change, current, newest) or Err(_unavailable('it changes too fast'))
+                return _decide(change, current, newest_schema) or Err(
+                    _unavailable('it changes too fast')
+                )
             case Err(Unavailable(lost)):
                 detail = lost
     return Err(_unavailable(detail))
 
 
 def _decide(
-    change: Change, held: StoredObject | None, newest: int
+    change: Change, held: StoredObject | None, newest_schema: int
 ) -> Result[Accepted, Rejected] | None:
     """Give the answer that needs no write, None where the change is to be written."""
-    if not readable(held):
+    if not is_history_readable(held):
         failure = Failure(ErrorKind.NEWER_SCHEMA, 'its audit trail cannot be read here')
         return Err(Rejected(failure))
     earlier = _find(change, held)
@@ -147,12 +149,12 @@
             failure = Failure(ErrorKind.KEY_REUSED, f'{change.id} was another change')
             return Err(Rejected(failure))
         return Ok(_accepted(change, held, settled=True))
-    failed = check_change(change, held, newest)
+    failed = validate_change(change, held, newest_schema)
     if failed is not None:
         return Err(Rejected(failed))
     if not _meets(change.expected, held):
         return Err(_clash(change, held))
-    if change.doc is None and (held is None or entry_of(held).doc is None):
+    if change.doc is None and (held is None or entry_from_object(held).doc is None):
         return Err(Rejected(Failure(ErrorKind.UNKNOWN_SERVICE, change.service)))
     return None
 
@@ -167,15 +169,15 @@
         why=change.why,
         when=change.when,
         before=before,
-        changed=changed_fields(entry_of(held).doc if held else None, change.doc),
+        changed=changed_fields(entry_from_object(held).doc if held else None, change.doc),
         deleted=change.doc is None,
         digest=_digest(change),
     )
-    obj = object_of(held)
+    obj = read_record_object(held)
     value = RecordObject(
         record=change.doc, history=[*obj['history'], entry], archived=obj['archived']
     )
-    match await make_room(store, change.service, value):
+    match await archive_oldest_entries(store, change.service, value):
         case Ok(fitting):
             others = held.value if held and isinstance(held.value, dict) else {}
             return await store.put(RECORDS, change.service, {**others, **fitting}, before)
@@ -184,7 +186,7 @@
 
 
 def _meets(expected: int, held: StoredObject | None) -> bool:
-    if held is None or (expected == ABSENT and entry_of(held).doc is None):
+    if held is None or (expected == ABSENT and entry_from_object(held).doc is None):
         return expected == ABSENT
     return expected == held.version
 
@@ -195,13 +197,13 @@
 
 
 def _find(change: Change, held: StoredObject | None) -> ChangeEntry | None:
-    return next((e for e in object_of(held)['history'] if e['id'] == change.id), None)
+    return next((e for e in read_record_object(held)['history'] if e['id'] == change.id), None)
 
 
 def _accepted(change: Change, held: StoredObject, *, settled: bool) -> Accepted:
     entry = _find(change, held)
     changed = entry['changed'] if entry else []
-    return Accepted(version_after(held, change.id), changed, settled)
+    return Accepted(resulting_version(held, change.id), changed, settled)
 
 
 def _clash(change: Change, held: StoredObject | None) -> Rejected:
@@ -210,7 +212,7 @@
         return Rejected(failure, Clash(ABSENT, [], [], []))
     theirs = entries_after(held, change.expected)
     fields = sorted({name for entry in theirs for name in entry['changed']})
-    yours = changed_fields(entry_of(held).doc, change.doc)
+    yours = changed_fields(entry_from_object(held).doc, change.doc)
     detail = f'version {held.version} stands there'
     if theirs:
         last = theirs[-1]
@@ -222,4 +224,4 @@
 
 
 def _unavailable(detail: str) -> Rejected:
-    return Rejected(Failure(ErrorKind.PLATFORM_UNAVAILABLE, detail, COME_BACK))
+    return Rejected(Failure(ErrorKind.PLATFORM_UNAVAILABLE, detail, RETRY_AFTER_SECONDS))
--- a/dunlinsaddle/records/chunks.py
+++ b/dunlinsaddle/records/chunks.py
@@ -7,7 +7,7 @@
 
 from dunlinsaddle.records.models import RecordEntry
 
-CHUNK_BYTES = 48_000
+MAX_CHUNK_BYTES = 48_000
 
 
 class Chunk(NamedTuple):
@@ -18,13 +18,13 @@
     entries: list[RecordEntry]
 
 
-def cut(entries: list[RecordEntry], since: int, upto: int) -> Iterator[Chunk]:
+def split_into_chunks(entries: list[RecordEntry], since: int, upto: int) -> Iterator[Chunk]:
     """Cut entries, sorted by version, into parts; there is always at least one."""
     part: list[RecordEntry] = []
     size = 0
     for entry in entries:
         more = len(msgspec.msgpack.encode(entry))
-        if part and size + more > CHUNK_BYTES:
+        if part and size + more > MAX_CHUNK_BYTES:
             last = part[-1].version
             yield Chunk(since, last, part)
             since, part, size = last, [], 0
--- a/dunlinsaddle/records/history.py
+++ b/dunlinsaddle/records/history.py
@@ -19,8 +19,8 @@
 AUDIT = 'audit'
 # The platform takes a megabyte, but a watch carries the whole object for each change, and a
 # fresh watcher reads the objects of all services at once.
-HISTORY_BYTES = 16_384
-KEPT = 2
+MAX_HISTORY_BYTES = 16_384
+MIN_INLINE_ENTRIES = 2
 
 
 class ChangeEntry(TypedDict):
@@ -61,7 +61,7 @@
     deleted: bool
 
 
-def object_of(held: StoredObject | None) -> RecordObject:
+def read_record_object(held: StoredObject | None) -> RecordObject:
     """Read an object that may have been written by hand; what is missing is empty."""
     value = held.value if held is not None and isinstance(held.value, dict) else {}
     return RecordObject(
@@ -73,24 +73,24 @@
 
 def entries_after(held: StoredObject, version: int) -> list[ChangeEntry]:
     """Give the changes that came after a version."""
-    return [e for e in object_of(held)['history'] if e['before'] >= version]
+    return [e for e in read_record_object(held)['history'] if e['before'] >= version]
 
 
-def version_after(held: StoredObject, change_id: str) -> int:
+def resulting_version(held: StoredObject, change_id: str) -> int:
     """Give the version that a change led to.
 
     Every write of the object is one change on the condition of the version before, so the
     next entry's ``before`` is it; the last entry led to what stands there.
     """
-    history = object_of(held)['history']
+    history = read_record_object(held)['history']
     for entry, following in itertools.pairwise(history):
         if entry['id'] == change_id:
             return following['before']
     return held.version
 
 
-async def make_room(
-    store: ObjectStore, service: str, value: RecordObject, most: int = HISTORY_BYTES
+async def archive_oldest_entries(
+    store: ObjectStore, service: str, value: RecordObject, max_bytes: int = MAX_HISTORY_BYTES
 ) -> Result[RecordObject, StoreError]:
     """Move the oldest entries to an audit object when the history has grown too long.
 
@@ -99,9 +99,9 @@
     reading counts them once, and the next writer takes the copy that stands there.
     """
     history = value['history']
-    if len(msgspec.json.encode(history)) <= most or len(history) <= KEPT:
+    if len(msgspec.json.encode(history)) <= max_bytes or len(history) <= MIN_INLINE_ENTRIES:
         return Ok(value)
-    moved = history[: min(len(history) // 2, len(history) - KEPT)]
+    moved = history[: min(len(history) // 2, len(history) - MIN_INLINE_ENTRIES)]
     name = f'{service}.{value["archived"]}'
     match await store.put(AUDIT, name, {'history': moved}, ABSENT):
         case Ok(_):
@@ -157,7 +157,7 @@
     store: ObjectStore, held: StoredObject, since: float
 ) -> Result[list[AuditLine], Unavailable]:
     """Read the trail of a record, its audit objects only as far back as is asked for."""
-    obj = object_of(held)
+    obj = read_record_object(held)
     entries = obj['history']
     for number in reversed(range(obj['archived'])):
         if entries and entries[0]['when'] < since:
@@ -189,7 +189,7 @@
     ]
 
 
-def readable(held: StoredObject | None) -> bool:
+def is_history_readable(held: StoredObject | None) -> bool:
     """Say whether the trail of a record can be read, and so be added to without a loss."""
     value = held.value if held is not None else None
     if value is None:
--- a/dunlinsaddle/records/book.py
+++ b/dunlinsaddle/records/record_cache.py
@@ -17,29 +17,29 @@
     why: str
 
 
-class RecordBook:
+class RecordCache:
     """Keeps the newest version of each record, and never goes back.
 
     ``complete_revision`` is the platform's counter up to which every change is known here.
     """
 
     def __init__(
-        self, newest: int = NEWEST_SCHEMA, wall_clock: Callable[[], float] = time.time
+        self, newest_schema: int = NEWEST_SCHEMA, wall_clock: Callable[[], float] = time.time
     ) -> None:
-        self.newest = newest
+        self.newest_schema = newest_schema
         self.wall_clock = wall_clock
         self.complete_revision = 0
         self.unreadable: dict[str, Unreadable] = {}
-        self.since: dict[str, float] = {}
+        self.in_force_since: dict[str, float] = {}
         self._in_force: dict[str, VersionedRecord] = {}
         self._documents: dict[str, RecordEntry] = {}
 
-    def take(self, entry: VersionedRecord) -> bool:
+    def update(self, entry: VersionedRecord) -> bool:
         """Take a decoded record if it is newer than what is held; say whether it was."""
         doc = encode_record(entry.record) if entry.record else None
-        return self.take_entry(RecordEntry(entry.service, entry.version, doc))
+        return self.update_entry(RecordEntry(entry.service, entry.version, doc))
 
-    def take_entry(self, entry: RecordEntry) -> bool:
+    def update_entry(self, entry: RecordEntry) -> bool:
         """Take a document if it is newer than what is held; say whether it was.
 
         A late watch answer, an old peer or a replayed push brings old versions. Comparing
@@ -51,16 +51,16 @@
         if held is not None and held.version >= entry.version:
             return False
         self._documents[entry.service] = entry
-        match decode_entry(entry, self.newest):
+        match decode_entry(entry, self.newest_schema):
             case Ok(record):
                 self._in_force[entry.service] = record
-                self.since[entry.service] = self.wall_clock()
+                self.in_force_since[entry.service] = self.wall_clock()
                 self.unreadable.pop(entry.service, None)
             case Err(failure):
                 self.unreadable[entry.service] = Unreadable(entry.version, failure.detail)
         return True
 
-    def complete(self, since: int, upto: int) -> None:
+    def mark_complete(self, since: int, upto: int) -> None:
         """Note that all changes after ``since`` and up to ``upto`` have been taken.
 
         With a gap before ``since`` nothing follows for ``upto``: a change in the gap would
--- a/dunlinsaddle/records/schema.py
+++ b/dunlinsaddle/records/schema.py
@@ -90,40 +90,40 @@
 }
 
 
-def decode_record(doc: Any, newest: int = NEWEST_SCHEMA) -> Result[ServiceRecord, Failure]:
+def decode_record(doc: Any, newest_schema: int = NEWEST_SCHEMA) -> Result[ServiceRecord, Failure]:
     """Read a decoded JSON document of any known schema version.
 
     Errors: ``INVALID_RECORD`` with the field that is wrong, ``NEWER_SCHEMA`` for a version
-    above ``newest``.
+    above ``newest_schema``.
     """
     if not isinstance(doc, dict):
         return _invalid('a record is a JSON object')
-    schema = schema_of(doc)
+    schema = schema_version_of(doc)
     if schema < 1:
         return _invalid('schema: expected a whole number from 1')
-    if schema > newest:
+    if schema > newest_schema:
         return Err(
             Failure(
                 ErrorKind.NEWER_SCHEMA,
-                f'schema: {schema} is newer than {newest}, the newest known here',
+                f'schema: {schema} is newer than {newest_schema}, the newest known here',
             )
         )
     return _decode_known(doc, schema)
 
 
-def schema_of(doc: Any) -> int:
+def schema_version_of(doc: Any) -> int:
     """Give the schema version that a document names, 0 for none."""
     schema = doc.get('schema') if isinstance(doc, dict) else None
     return schema if isinstance(schema, int) and not isinstance(schema, bool) else 0
 
 
 def decode_entry(
-    entry: RecordEntry, newest: int = NEWEST_SCHEMA
+    entry: RecordEntry, newest_schema: int = NEWEST_SCHEMA
 ) -> Result[VersionedRecord, Failure]:
     """Read a document that must describe the service it is filed under."""
     if entry.doc is None:
         return Ok(VersionedRecord(entry.service, entry.version, None))
-    match decode_record(entry.doc, newest):
+    match decode_record(entry.doc, newest_schema):
         case Ok(record) if record.service != entry.service:
             return _invalid(f'service: {record.service!r}: expected {entry.service!r}')
         case Ok(record):
--- a/dunlinsaddle/records/sync.py
+++ b/dunlinsaddle/records/sync.py
@@ -18,16 +18,16 @@
 from dunlinsaddle.membership.view import Member, MemberView, State
 from dunlinsaddle.platform.store import Listing, ObjectStore, Unavailable
 from dunlinsaddle.records import topology
-from dunlinsaddle.records.book import RecordBook
-from dunlinsaddle.records.changes import entry_of
-from dunlinsaddle.records.chunks import cut
+from dunlinsaddle.records.changes import entry_from_object
+from dunlinsaddle.records.chunks import split_into_chunks
 from dunlinsaddle.records.history import RECORDS
 from dunlinsaddle.records.models import RecordEntry
-from dunlinsaddle.records.sync_parts import Links, PlatformState, SyncTimes, WatchGrace
+from dunlinsaddle.records.record_cache import RecordCache
+from dunlinsaddle.records.sync_parts import PlatformState, RecordTransport, SyncTimings, WatchGrace
 
-REACH = 2  #: members of each other domain that a watcher pushes to
-SEEN = 256
-EXCHANGE_TRIES = 3
+PUSHES_PER_REMOTE_DOMAIN = 2  #: members of each other domain that a watcher pushes to
+MAX_SEEN_PUSHES = 256
+MAX_EXCHANGE_ATTEMPTS = 3
 
 
 class _Choices(NamedTuple):
@@ -43,27 +43,27 @@
 
     def __init__(
         self,
-        book: RecordBook,
+        record_cache: RecordCache,
         store: ObjectStore,
         view: MemberView,
-        links: Links,
-        me: Callable[[], Member],
+        links: RecordTransport,
+        local_member: Callable[[], Member],
         rng: Random,
         logger: logging.Logger,
-        times: SyncTimes = SyncTimes(),  # noqa: B008 (immutable)
+        timings: SyncTimings = SyncTimings(),  # noqa: B008 (immutable)
     ) -> None:
-        self.book = book
+        self.record_cache = record_cache
         self.store = store
         self.view = view
         self.links = links
-        self.me = me
+        self.local_member = local_member
         self.rng = rng
         self.logger = logger
-        self.times = times
+        self.timings = timings
         self.platform = PlatformState()
-        self.fresh_at = float('-inf')  #: up to then every change is known here
+        self.synced_at = float('-inf')  #: up to then every change is known here
         self._failures = 0
-        self._grace = WatchGrace(times)
+        self._grace = WatchGrace(timings)
         self._silent_until: dict[str, float] = {}
         self._seen: dict[tuple[str, int, int], None] = {}
         self._pushes: set[asyncio.Task[None]] = set()
@@ -72,7 +72,7 @@
     async def run(self) -> None:
         """Keep the book up to date until cancelled."""
         # A fleet that starts as one must not ask the platform as one.
-        await asyncio.sleep(self.rng.uniform(0, self.times.start_spread))
+        await asyncio.sleep(self.rng.uniform(0, self.timings.startup_jitter))
         await self._ask_some()
         try:
             async with asyncio.TaskGroup() as group:
@@ -89,13 +89,13 @@
     def _chosen(self) -> _Choices:
         """Choose anew only when the view has changed: it sorts all members by their hash."""
         if self._choices.version != self.view.version:
-            me = self.me()
-            watchers = topology.watchers(me.domain, {*self._own(me), me.instance})
-            near = topology.neighbours(me, self._others())
+            local = self.local_member()
+            watchers = topology.watchers(local.domain, {*self._own(local), local.instance})
+            near = topology.neighbours(local, self._others())
             self._choices = _Choices(self.view.version, watchers, near)
         return self._choices
 
-    def take(self, frame: RecordFrame) -> RecordsResponse | None:
+    def handle_frame(self, frame: RecordFrame) -> RecordsResponse | None:
         """Take a frame from a peer; gives the answer to a question."""
         match frame:
             case RecordsRequest(id=number, since=since):
@@ -108,29 +108,36 @@
         """Give what an operator wants to know of records and the platform at this node."""
         seconds = _now() - self.platform.changed_at
         state = {None: 'not asked', True: 'reachable', False: 'lost'}[self.platform.reachable]
-        book = self.book
+        record_cache = self.record_cache
         return {
             'records': {
-                e.service: {'version': e.version, 'since': book.since.get(e.service)}
-                for e in book.entries()
+                e.service: {
+                    'version': e.version,
+                    'since': record_cache.in_force_since.get(e.service),
+                }
+                for e in record_cache.entries()
             },
-            'unreadable': {name: found._asdict() for name, found in book.unreadable.items()},
-            'revision': book.complete_revision,
+            'unreadable': {
+                name: found._asdict() for name, found in record_cache.unreadable.items()
+            },
+            'revision': record_cache.complete_revision,
             'platform': {'state': state, 'for_seconds': round(seconds, 1)},
             'watchers': self.watchers(),
         }
 
-    async def survey(self, most: int = 8) -> dict[str, list[RecordsResponse | None]]:
-        """Ask up to ``most`` members of each failure domain how far they are."""
+    async def survey_members(
+        self, max_per_domain: int = 8
+    ) -> dict[str, list[RecordsResponse | None]]:
+        """Ask up to ``max_per_domain`` members of each failure domain how far they are."""
         by_domain: dict[str, list[Member]] = {}
         for member in self._others():
             by_domain.setdefault(member.domain, []).append(member)
         asked = [
             (domain, member)
             for domain, members in by_domain.items()
-            for member in self.rng.sample(members, min(most, len(members)))
+            for member in self.rng.sample(members, min(max_per_domain, len(members)))
         ]
-        upto = self.book.complete_revision
+        upto = self.record_cache.complete_revision
         answers = await asyncio.gather(
             *(self.links.fetch_records(m.peers, RecordsRequest(0, upto), 0.5) for _, m in asked)
         )
@@ -140,29 +147,29 @@
         return found
 
     def _answer(self, number: int, since: int) -> RecordsResponse:
-        upto = self.book.complete_revision
-        age = _now() - self.fresh_at
-        entries = self.book.documents_after(since)
-        chunk = next(cut(entries, since, max(upto, since)))
+        upto = self.record_cache.complete_revision
+        age = _now() - self.synced_at
+        entries = self.record_cache.documents_after(since)
+        chunk = next(split_into_chunks(entries, since, max(upto, since)))
         more = chunk.upto < upto
         return RecordsResponse(number, min(chunk.upto, upto), age, more, chunk.entries)
 
     def _take_push(self, push: RecordsPush) -> None:
         new = self._take_entries(push.entries)
-        self.book.complete(push.since, push.upto)
-        me = self.me()
-        if push.domain == me.domain and push.tree_root and self._first(push):
-            self._push(self._children(me.instance, push.tree_root), push)
+        self.record_cache.mark_complete(push.since, push.upto)
+        local = self.local_member()
+        if push.domain == local.domain and push.tree_root and self._first(push):
+            self._push(self._children(local.instance, push.tree_root), push)
         if not new:
             return
-        if push.domain != me.domain:
+        if push.domain != local.domain:
             # This domain may be cut off from the platform: what came in is for all of it.
-            passed = RecordsPush(push.since, push.upto, me.domain, me.instance, push.entries)
-            self._push(self._children(me.instance, me.instance), passed)
+            passed = RecordsPush(push.since, push.upto, local.domain, local.instance, push.entries)
+            self._push(self._children(local.instance, local.instance), passed)
         # A node that is frozen, its links still open, ends a tree without a sign. News that
         # also goes from neighbour to neighbour gets round it without waiting for an exchange.
-        near = [m for m in self._neighbours() if m.domain == me.domain]
-        self._push(near, RecordsPush(push.since, push.upto, me.domain, '', push.entries))
+        near = [m for m in self._neighbours() if m.domain == local.domain]
+        self._push(near, RecordsPush(push.since, push.upto, local.domain, '', push.entries))
 
     def _first(self, push: RecordsPush) -> bool:
         """Say whether a push comes down its tree for the first time.
@@ -174,19 +181,19 @@
         if key in self._seen:
             return False
         self._seen[key] = None
-        if len(self._seen) > SEEN:
+        if len(self._seen) > MAX_SEEN_PUSHES:
             self._seen.pop(next(iter(self._seen)))
         return True
 
     def _children(self, instance: str, root: str) -> list[Member]:
         """Give those whom an instance serves in the tree of ``root`` over this domain."""
-        me = self.me()
-        own = self._own(me)
-        names = topology.children(root, {*own, me.instance}, instance)
+        local = self.local_member()
+        own = self._own(local)
+        names = topology.children(root, {*own, local.instance}, instance)
         return [own[name] for name in names if name in own]
 
     def _take_entries(self, entries: Iterable[RecordEntry]) -> list[RecordEntry]:
-        new = [entry for entry in entries if self.book.take_entry(entry)]
+        new = [entry for entry in entries if self.record_cache.update_entry(entry)]
         for entry in new:
             self.logger.info(
                 'record taken', extra={'service': entry.service, 'version': entry.version}
@@ -200,15 +207,15 @@
             except Exception:
                 # A fault in one round must not leave the node with old records for ever.
                 self.logger.exception('fault while synchronising records')
-                await asyncio.sleep(self.times.most_backoff)
+                await asyncio.sleep(self.timings.max_backoff)
 
     async def _ask_platform(self) -> None:
-        if self.me().instance in self.watchers():
-            await self._watch(self.times.watch)
-        elif _now() - self.fresh_at > self.times.stale_after:
+        if self.local_member().instance in self.watchers():
+            await self._watch(self.timings.watch_timeout)
+        elif _now() - self.synced_at > self.timings.stale_after:
             await self._poll_when_stale()
         else:
-            await asyncio.sleep(self.times.watch * self.rng.uniform(0.2, 0.4))
+            await asyncio.sleep(self.timings.watch_timeout * self.rng.uniform(0.2, 0.4))
 
     async def _poll_when_stale(self) -> None:
         """Ask the platform when peers have brought nothing certain for long.
@@ -216,60 +223,62 @@
         All members of a cut-off domain come here at once, so each waits longer the more of
         them there are: the platform's load stays the same however large the domain is.
         """
-        me = self.me()
-        members = 1 + len(self._own(me))
-        await asyncio.sleep(members * self.times.per_member * self.rng.uniform(0.5, 1.5))
-        if _now() - self.fresh_at > self.times.stale_after:
+        local = self.local_member()
+        members = 1 + len(self._own(local))
+        await asyncio.sleep(
+            members * self.timings.poll_delay_per_member * self.rng.uniform(0.5, 1.5)
+        )
+        if _now() - self.synced_at > self.timings.stale_after:
             await self._watch(0)
 
     async def _watch(self, timeout: float) -> None:
-        since = self.book.complete_revision
+        since = self.record_cache.complete_revision
         began = _now()
         result = await self.store.watch(RECORDS, since, timeout, self._grace.seconds)
         took = _now() - began
-        self._grace.learn(took - timeout, answered=isinstance(result, Ok))
+        self._grace.update(took - timeout, answered=isinstance(result, Ok))
         match result:
             case Ok(listing):
                 self._failures = 0
-                self.platform.note(_now(), True)
+                self.platform.record_result(_now(), True)
                 self._take_listing(since, listing)
                 # A platform that answers at once, with nothing new, must not be asked in a spin.
-                if took < self.times.first_backoff and not listing.objects:
-                    await asyncio.sleep(self.times.first_backoff)
+                if took < self.timings.initial_backoff and not listing.objects:
+                    await asyncio.sleep(self.timings.initial_backoff)
             case Err(error):
                 await self._back_off(error)
 
     def _take_listing(self, since: int, listing: Listing) -> None:
-        entries = sorted(map(entry_of, listing.objects), key=lambda e: e.version)
+        entries = sorted(map(entry_from_object, listing.objects), key=lambda e: e.version)
         new = self._take_entries(entries)
-        self.book.complete(since, listing.version)
-        self.fresh_at = _now()
+        self.record_cache.mark_complete(since, listing.version)
+        self.synced_at = _now()
         if not new:
             return
-        me = self.me()
+        local = self.local_member()
         # All of them, not just the new: a push says that nothing is missing up to its end.
-        for chunk in cut(entries, since, listing.version):
-            push = RecordsPush(chunk.since, chunk.upto, me.domain, me.instance, chunk.entries)
-            self._push([*self._children(me.instance, me.instance), *self._reach(me)], push)
+        for chunk in split_into_chunks(entries, since, listing.version):
+            push = RecordsPush(chunk.since, chunk.upto, local.domain, local.instance, chunk.entries)
+            self._push([*self._children(local.instance, local.instance), *self._reach(local)], push)
 
     async def _back_off(self, error: Unavailable) -> None:
         if self._failures == 0:
             self.logger.warning('platform lost', extra={'detail': error.detail})
-        self.platform.note(_now(), False)
-        most = min(self.times.first_backoff * 2**self._failures, self.times.most_backoff)
+        self.platform.record_result(_now(), False)
+        delay = min(self.timings.initial_backoff * 2**self._failures, self.timings.max_backoff)
         self._failures = min(self._failures + 1, 10)
-        await asyncio.sleep(most * self.rng.uniform(0.5, 1.0))
+        await asyncio.sleep(delay * self.rng.uniform(0.5, 1.0))
 
-    def _reach(self, me: Member) -> list[Member]:
+    def _reach(self, local: Member) -> list[Member]:
         """Give some members of each other failure domain."""
         by_domain: dict[str, list[Member]] = {}
         for member in self._others():
-            if member.domain != me.domain:
+            if member.domain != local.domain:
                 by_domain.setdefault(member.domain, []).append(member)
         return [
             member
             for members in by_domain.values()
-            for member in self.rng.sample(members, min(REACH, len(members)))
+            for member in self.rng.sample(members, min(PUSHES_PER_REMOTE_DOMAIN, len(members)))
         ]
 
     def _push(self, members: Iterable[Member], push: RecordsPush) -> None:
@@ -280,20 +289,24 @@
 
     async def _push_to(self, member: Member, push: RecordsPush) -> None:
         reached = await self.links.notify(member.peers, push)
-        if not reached and push.tree_root and member.domain == push.domain == self.me().domain:
+        if (
+            not reached
+            and push.tree_root
+            and member.domain == push.domain == self.local_member().domain
+        ):
             # A dead node serves nobody, so those below it would wait for the next exchange.
             self._push(self._children(member.instance, push.tree_root), push)
 
     async def _exchange(self) -> None:
-        await asyncio.sleep(self.times.exchange * self.rng.uniform(0.5, 1.0))
-        for _ in range(EXCHANGE_TRIES):
+        await asyncio.sleep(self.timings.exchange_interval * self.rng.uniform(0.5, 1.0))
+        for _ in range(MAX_EXCHANGE_ATTEMPTS):
             neighbours = self._neighbours()
             if not neighbours:
                 return
             member = self.rng.choice(neighbours)
             if await self._pull(member):
                 return
-            self._silent_until[member.instance] = _now() + self.times.silent
+            self._silent_until[member.instance] = _now() + self.timings.unresponsive_seconds
 
     async def _ask_some(self) -> None:
         # One old peer alone would leave a fresh node behind; the highest of several goes.
@@ -302,25 +315,29 @@
     async def _pull(self, member: Member) -> bool:
         """Take what a peer has and this node lacks, and send it what it lacks itself."""
         while True:
-            since = self.book.complete_revision
-            ask = RecordsRequest(0, since)
-            answer = await self.links.fetch_records(member.peers, ask, self.times.answer)
+            since = self.record_cache.complete_revision
+            request = RecordsRequest(0, since)
+            answer = await self.links.fetch_records(
+                member.peers, request, self.timings.response_timeout
+            )
             if answer is None:
                 return False
             self._take_entries(answer.entries)
-            self.book.complete(since, answer.upto)
+            self.record_cache.mark_complete(since, answer.upto)
             if not answer.has_more or answer.upto <= since:
                 break
-        if answer.upto >= self.book.complete_revision:
-            self.fresh_at = max(self.fresh_at, _now() - answer.age_seconds)
+        if answer.upto >= self.record_cache.complete_revision:
+            self.synced_at = max(self.synced_at, _now() - answer.age_seconds)
         else:
             self._push_missing(member, answer.upto)
         return True
 
     def _push_missing(self, member: Member, upto: int) -> None:
-        entries = self.book.documents_after(upto)
-        for chunk in cut(entries, upto, self.book.complete_revision):
-            push = RecordsPush(chunk.since, chunk.upto, self.me().domain, '', chunk.entries)
+        entries = self.record_cache.documents_after(upto)
+        for chunk in split_into_chunks(entries, upto, self.record_cache.complete_revision):
+            push = RecordsPush(
+                chunk.since, chunk.upto, self.local_member().domain, '', chunk.entries
+            )
             self._push([member], push)
 
     def _neighbours(self) -> list[Member]:
@@ -334,13 +351,13 @@
         if not self._silent_until:
             return list(self._chosen().neighbours)
         answering = [m for m in self._others() if m.instance not in self._silent_until]
-        return topology.neighbours(self.me(), answering)
+        return topology.neighbours(self.local_member(), answering)
 
-    def _own(self, me: Member) -> dict[str, Member]:
-        return {m.instance: m for m in self._others() if m.domain == me.domain}
+    def _own(self, local: Member) -> dict[str, Member]:
+        return {m.instance: m for m in self._others() if m.domain == local.domain}
 
     def _others(self) -> Iterator[Member]:
-        instance = self.me().instance
+        instance = self.local_member().instance
         for member in self.view.members():
             if member.instance != instance and member.state not in (State.DEAD, State.LEFT):
                 yield member
--- a/dunlinsaddle/records/sync_parts.py
+++ b/dunlinsaddle/records/sync_parts.py
@@ -3,33 +3,33 @@
 from typing import NamedTuple, Protocol
 
 from dunlinsaddle.calls.messages import RecordsPush, RecordsRequest, RecordsResponse
-from dunlinsaddle.platform.store import WATCH_GRACE
+from dunlinsaddle.platform.store import WATCH_GRACE_SECONDS
 from dunlinsaddle.settings import Address
 
 TIMER_SLACK = 0.1  #: seconds by which a timer may fire early against the steady clock
 
 
-class SyncTimes(NamedTuple):
+class SyncTimings(NamedTuple):
     """How often a node does what. Seconds."""
 
-    watch: float = 3.0  #: a connection gone silent is noticed within this and the grace
-    grace: float = WATCH_GRACE
-    most_grace: float = 30.0
-    first_backoff: float = 0.2
-    most_backoff: float = 2.0
-    exchange: float = 2.0
-    answer: float = 1.0
-    silent: float = 4.0  #: for so long a peer that gave no answer is not asked again
-    start_spread: float = 0.3
+    watch_timeout: float = 3.0  #: a connection gone silent is noticed within this and the grace
+    watch_grace: float = WATCH_GRACE_SECONDS
+    max_watch_grace: float = 30.0
+    initial_backoff: float = 0.2
+    max_backoff: float = 2.0
+    exchange_interval: float = 2.0
+    response_timeout: float = 1.0
+    unresponsive_seconds: float = 4.0  #: for so long a peer that gave no answer is not asked again
+    startup_jitter: float = 0.3
     stale_after: float = 15.0
-    per_member: float = 2.0  #: keeps slow polls of one domain at one each two seconds
+    poll_delay_per_member: float = 2.0  #: keeps slow polls of one domain at one each two seconds
 
 
-class Links(Protocol):
+class RecordTransport(Protocol):
     """What is asked of the links to peers."""
 
     async def fetch_records(
-        self, address: Address, ask: RecordsRequest, timeout: float
+        self, address: Address, request: RecordsRequest, timeout: float
     ) -> RecordsResponse | None:
         """Ask a peer for records; None when no answer comes."""
 
@@ -44,7 +44,7 @@
         self.reachable: bool | None = None
         self.changed_at = 0.0
 
-    def note(self, now: float, reachable: bool) -> None:
+    def record_result(self, now: float, reachable: bool) -> None:
         """Note the end of a call."""
         if reachable is not self.reachable:
             self.reachable = reachable
@@ -54,17 +54,19 @@
 class WatchGrace:
     """How much longer than it asked for a watch waits for its answer."""
 
-    def __init__(self, times: SyncTimes) -> None:
-        self.times = times
-        self.seconds = times.grace
+    def __init__(self, timings: SyncTimings) -> None:
+        self.timings = timings
+        self.seconds = timings.watch_grace
 
-    def learn(self, late: float, *, answered: bool) -> None:
+    def update(self, overrun_seconds: float, *, answered: bool) -> None:
         """Wait longer for a platform that is slow, and no longer than needed for a fast one.
 
         With one short bound a platform that is just slower would never be heard; with one
         long bound a connection that went silent would hold up a node that has rejoined.
         """
-        if answered and late >= 0:
-            self.seconds = min(max(self.times.grace, late * 3), self.times.most_grace)
-        elif not answered and late >= self.seconds - TIMER_SLACK:
-            self.seconds = min(self.seconds * 2, self.times.most_grace)
+        if answered and overrun_seconds >= 0:
+            self.seconds = min(
+                max(self.timings.watch_grace, overrun_seconds * 3), self.timings.max_watch_grace
+            )
+        elif not answered and overrun_seconds >= self.seconds - TIMER_SLACK:
+            self.seconds = min(self.seconds * 2, self.timings.max_watch_grace)
--- a/dunlinsaddle/records/topology.py
+++ b/dunlinsaddle/records/topology.py
@@ -1,13 +1,11 @@
 """Which members watch, and which pass records on to which: pure choices by rendezvous hash."""
-
 from collections.abc import Iterable
-
 from dunlinsaddle.membership.coordinators import rendezvous_score
 from dunlinsaddle.membership.view import Member
 
-WATCHERS = 2  #: per failure domain, so that one may die unnoticed
+WATCHER_COUNT = 2  #: per failure domain, so that one may die unnoticed
 FANOUT = 6  #: pushes of one node down one tree; the time is that of log6 of a domain's members
-NEIGHBOURS = 3  #: fixed peers in the own failure domain, and as many elsewhere
+NEIGHBOUR_COUNT = 3  #: fixed peers in the own failure domain, and as many elsewhere
 
 
 def watchers(domain: str, names: Iterable[str]) -> list[str]:
@@ -16,7 +14,7 @@
     Nodes whose views agree choose the same ones; where views differ each chooses some, which
     is enough.
     """
-    return sorted(names, key=lambda name: rendezvous_score(domain, name))[:WATCHERS]
+    return sorted(names, key=lambda name: rendezvous_score(domain, name))[:WATCHER_COUNT]
 
 
 def children(root: str, names: Iterable[str], instance: str) -> list[str]:
@@ -35,9 +33,9 @@
     return order[first : first + FANOUT]
 
 
-def neighbours(me: Member, others: Iterable[Member]) -> list[Member]:
+def neighbours(local_member: Member, others: Iterable[Member]) -> list[Member]:
     """Give a few peers, always the same ones, so that few links have to stay open."""
-    ordered = sorted(others, key=lambda m: rendezvous_score(me.instance, m.instance))
-    near = [m for m in ordered if m.domain == me.domain]
-    far = [m for m in ordered if m.domain != me.domain]
-    return near[:NEIGHBOURS] + far[:NEIGHBOURS]
+    ordered = sorted(others, key=lambda m: rendezvous_score(local_member.instance, m.instance))
+    near = [m for m in ordered if m.domain == local_member.domain]
+    far = [m for m in ordered if m.domain != local_member.domain]
+    return near[:NEIGHBOUR_COUNT] + far[:NEIGHBOUR_COUNT]
--- a/dunlinsaddle/routes/config_follower.py
+++ b/dunlinsaddle/routes/config_follower.py
@@ -12,7 +12,7 @@
 from dunlinsaddle.calls.messages import MAX_TIMEOUT_SECONDS, RecordFrame, RecordsRequest, RecordsResponse
 from dunlinsaddle.loops import Backoff, LoopBound
 from dunlinsaddle.membership.view import Member
-from dunlinsaddle.platform.store import JsonValue, Listing, ObjectStore, StoredObject, Unavailable, place_of
+from dunlinsaddle.platform.store import JsonValue, Listing, ObjectStore, StoredObject, Unavailable, version_to_position
 from dunlinsaddle.records.models import RecordEntry
 from dunlinsaddle.routes.models import Configuration, Organisation
 from dunlinsaddle.routes.table import RouteTable
@@ -200,7 +200,7 @@
             self.configuration_lease.renew(began - answer.age_seconds)
 
     def _apply_listing(self, listing: Listing) -> None:
-        before, now = place_of(self.store_version), place_of(listing.version)
+        before, now = version_to_position(self.store_version), version_to_position(listing.version)
         if self.store_version and now.epoch > before.epoch:
             self._store_is_current = False
             extra = {'epoch': now.epoch, 'revision': now.revision, 'before': before.revision}
--- a/standins/mesh.py
+++ b/standins/mesh.py
@@ -215,7 +215,7 @@
     return [
         (b'host', b'h.example'),
         (names.REQUEST_ID, request_id.encode()),
-        (names.TIME_LEFT, left),
+        (names.REMAINING_MILLISECONDS, left),
     ]
 
 
--- a/standins/mesh_target.py
+++ b/standins/mesh_target.py
@@ -1,20 +1,17 @@
 """A target of the users' platform: heartbeats, slots, signed answers, and calls of its own."""
-
 import argparse
 import asyncio
 import contextlib
+import msgspec
 import signal
 import time
-
-import msgspec
 import uuid6
-
 from dunlinsaddle.calls.client import HttpClient
 from dunlinsaddle.calls.connection import Answered
 from dunlinsaddle.calls.http import HttpLimits, HttpRequest, HttpResponse, json_response
 from dunlinsaddle.calls.listener import HttpListener
 from dunlinsaddle.platform import headers as names
-from dunlinsaddle.platform.heartbeats import PATH
+from dunlinsaddle.platform.heartbeats import INSTANCES_PATH
 from dunlinsaddle.settings import parse_address
 
 BEAT_SECONDS = 0.5  #: between heartbeats; a third of the platform's, so that trials are short
@@ -59,7 +56,7 @@
         if req.header(names.EXPECTED_TARGET) != self.target_id:
             return HttpResponse(WRONG_TARGET, [(names.TARGET_ID, self.target_id.encode())], b'')
         if self.running >= self.options.slots:
-            return HttpResponse(503, [(names.NOT_RUN, b'1'), *self._said()], b'')
+            return HttpResponse(503, [(names.NOT_EXECUTED, b'1'), *self._said()], b'')
         self.running += 1
         try:
             return await self._run(req)
@@ -76,7 +73,7 @@
         status = 200 if all(served) else 500
         said = [
             (names.REQUEST_ID, request_id.encode()),
-            (names.SIGNATURE, self.target_id.encode()),
+            (names.SERVER_SIGNATURE, self.target_id.encode()),
             *self._said(),
         ]
         body = msgspec.json.encode({'id': request_id, 'path': req.path})
@@ -85,16 +82,16 @@
     def _said(self) -> list[tuple[bytes, bytes]]:
         said = []
         if self.says.rate is not None:
-            said.append((names.RATE, f'{self.says.rate:.3f}'.encode()))
+            said.append((names.RATE_LIMIT, f'{self.says.rate:.3f}'.encode()))
         if self.says.leaving:
-            said.append((names.LEAVING, b'1'))
+            said.append((names.SERVER_LEAVING, b'1'))
         return said
 
     async def _call(self, path: str, parent: str) -> bool:
         pairs = [
             (b'host', b'h.example'),
             (names.REQUEST_ID, f'{parent}.{uuid6.uuid7().hex[-16:]}'.encode()),
-            (names.TIME_LEFT, b'%d' % int(CALL_SECONDS * 1000)),
+            (names.REMAINING_MILLISECONDS, b'%d' % int(CALL_SECONDS * 1000)),
         ]
         req = HttpRequest('GET', path, pairs, b'', '')
         exchange = await self.client.send(self.options.outbound, req, CALL_SECONDS)
@@ -115,7 +112,7 @@
             'born': self.born,
         }
         body = msgspec.json.encode(said)
-        req = HttpRequest('PUT', f'{PATH}{self.target_id}', [], body, '')
+        req = HttpRequest('PUT', f'{INSTANCES_PATH}{self.target_id}', [], body, '')
         exchange = await self.client.send(self.options.control, req, 1.0)
         return isinstance(exchange, Answered) and exchange.response.status == 200
 
@@ -139,7 +136,7 @@
     await target.beat()
     await asyncio.sleep(options.drain)
     beating.cancel()
-    leave = HttpRequest('DELETE', f'{PATH}{target.target_id}', [], b'', '')
+    leave = HttpRequest('DELETE', f'{INSTANCES_PATH}{target.target_id}', [], b'', '')
     await target.client.send(options.control, leave, 1.0)
     face.close()
 
--- a/standins/soak.py
+++ b/standins/soak.py
@@ -158,8 +158,8 @@
         response = exchange.response
         sound = response.status != 200 or _sound(response, request_id)
         found = dict(response.headers)
-        if found.get(names.LEAVING) == b'1':
-            left = found.get(names.SIGNATURE, b'').decode()
+        if found.get(names.SERVER_LEAVING) == b'1':
+            left = found.get(names.SERVER_SIGNATURE, b'').decode()
             self.record.passed_on.append(PassedOn(entry, left, began + took))
         return Sent(request_id, service, entry, response.status, sound, took, began)
 
@@ -340,7 +340,7 @@
 
 def _sound(response: HttpResponse, request_id: str) -> bool:
     found = dict(response.headers)
-    if names.SIGNATURE not in found or found.get(names.REQUEST_ID) != request_id.encode():
+    if names.SERVER_SIGNATURE not in found or found.get(names.REQUEST_ID) != request_id.encode():
         return False
     try:
         return bool(msgspec.json.decode(response.body)['id'] == request_id)
--- a/standins/stages.py
+++ b/standins/stages.py
@@ -165,7 +165,7 @@
     silent = io.StringIO()
     env = Environment(stdout=silent, stderr=silent)
     node = Node(settings, env, logging.getLogger('standins.stages'))
-    node.book.take(VersionedRecord('templates', 1, ServiceRecord('templates', 2)))
+    node.record_cache.update(VersionedRecord('templates', 1, ServiceRecord('templates', 2)))
     return node
 
 
--- a/tests/builders.py
+++ b/tests/builders.py
@@ -17,9 +17,9 @@
 from dunlinsaddle.policy.context import CallContext, Priority
 from dunlinsaddle.policy.limit import AdaptiveLimit
 from dunlinsaddle.policy.retry import RetryAllowance
-from dunlinsaddle.records.book import RecordBook
 from dunlinsaddle.records.changes import Change
 from dunlinsaddle.records.models import Rank, RequestRule, ServiceRecord
+from dunlinsaddle.records.record_cache import RecordCache
 from dunlinsaddle.records.sync import RecordSync
 from dunlinsaddle.routes.config_follower import ConfigFollower
 from dunlinsaddle.settings import Address, Settings, read_settings
@@ -96,7 +96,7 @@
     """Build that of a node that knows no other."""
     member = build_member()
     logger = build_logger('records')
-    return RecordSync(RecordBook(), store, MemberView(), None, lambda: member, Random(1), logger)  # type: ignore[arg-type]
+    return RecordSync(RecordCache(), store, MemberView(), None, lambda: member, Random(1), logger)  # type: ignore[arg-type]
 
 
 def build_record(service: str = 'cut-orders', **changes: Any) -> ServiceRecord:
--- a/tests/fakes/records.py
+++ b/tests/fakes/records.py
@@ -1,18 +1,15 @@
 """Nodes' record synchronisation in memory: links, cuts and the platform as each node sees it."""
-
 import asyncio
 from collections.abc import Callable
-from random import Random
-
-from result import Err, Result
-
 from dunlinsaddle.calls.client import CONNECT_TIMEOUT_SECONDS
 from dunlinsaddle.calls.messages import RecordFrame, RecordsPush, RecordsRequest, RecordsResponse
 from dunlinsaddle.membership.view import Member, MemberView
 from dunlinsaddle.platform.store import Listing, Unavailable
-from dunlinsaddle.records.book import RecordBook
+from dunlinsaddle.records.record_cache import RecordCache
 from dunlinsaddle.records.sync import RecordSync
 from dunlinsaddle.settings import Address
+from random import Random
+from result import Err, Result
 from tests.builders import build_logger, build_member
 from tests.fakes.store import FakeStore
 
@@ -22,22 +19,22 @@
 class CutStore:
     """The platform as one node sees it: a cut swallows answers, and connections after it fail."""
 
-    def __init__(self, store: FakeStore, cut: Callable[[], bool]) -> None:
+    def __init__(self, store: FakeStore, is_cut: Callable[[], bool]) -> None:
         self.store = store
-        self.cut = cut
+        self.is_cut = is_cut
 
     async def watch(
         self, kind: str, since: int, timeout: float, grace: float
     ) -> Result[Listing, Unavailable]:
         loop = asyncio.get_running_loop()
-        if self.cut():
+        if self.is_cut():
             self.store.calls += 1
             self.store.call_times.append(loop.time())
             await asyncio.sleep(CONNECT_TIMEOUT_SECONDS)
             return Err(Unavailable('no connection in time'))
         deadline = loop.time() + timeout + grace
         result = await self.store.watch(kind, since, timeout, grace)
-        if not self.cut():
+        if not self.is_cut():
             return result
         await asyncio.sleep(deadline - loop.time())
         return Err(Unavailable('no answer in time'))
@@ -46,17 +43,17 @@
 class FakeNode:
     """One node's part in the synchronisation, and the versions it ever had in force."""
 
-    def __init__(self, fleet: 'FakeFleet', member: Member, newest: int = 2) -> None:
+    def __init__(self, fleet: 'FakeFleet', member: Member, newest_schema: int = 2) -> None:
         self.fleet = fleet
         self.member = member
         self.alive = True
         self.frozen = False  #: links to it stay open, and it takes and answers nothing
-        self.sent = 0  #: pushes
-        self.book = RecordBook(newest=newest)
+        self.push_count = 0  #: pushes
+        self.record_cache = RecordCache(newest_schema=newest_schema)
         self.view = MemberView()
         store = CutStore(fleet.store, lambda: member.domain in fleet.cut_from_platform)
         self.sync = RecordSync(
-            self.book,
+            self.record_cache,
             store,  # type: ignore[arg-type]
             self.view,
             self,
@@ -67,29 +64,29 @@
         self.task: asyncio.Task[None] | None = None
 
     async def fetch_records(
-        self, address: Address, ask: RecordsRequest, timeout: float
+        self, address: Address, request: RecordsRequest, timeout: float
     ) -> RecordsResponse | None:
         node = await self._reach(address, timeout)
-        return None if node is None else node.sync.take(ask)
+        return None if node is None else node.sync.handle_frame(request)
 
     async def notify(self, address: Address, push: RecordsPush) -> bool:
         self.fleet.pushed.append(push)
-        self.sent += 1
+        self.push_count += 1
         if self.fleet.nodes[address].frozen:
             return True
         node = await self._reach(address, 1.0)
         if node is not None:
-            node.take(push)
+            node.receive(push)
         return node is not None
 
-    def take(self, frame: RecordFrame) -> None:
-        self.sync.take(frame)
+    def receive(self, frame: RecordFrame) -> None:
+        self.sync.handle_frame(frame)
 
     async def _reach(self, address: Address, timeout: float) -> 'FakeNode | None':
         await asyncio.sleep(LATENCY)
         node = self.fleet.nodes[address]
         path = frozenset((self.member.domain, node.member.domain))
-        if self.alive and node.alive and not node.frozen and path not in self.fleet.cut:
+        if self.alive and node.alive and not node.frozen and path not in self.fleet.cut_links:
             return node
         await asyncio.sleep(timeout)
         return None
@@ -114,7 +111,7 @@
     def __init__(self, domains: list[str], members: int, seed: int = 1) -> None:
         self.rng = Random(seed)
         self.store = FakeStore()
-        self.cut: set[frozenset[str]] = set()
+        self.cut_links: set[frozenset[str]] = set()
         self.cut_from_platform: set[str] = set()
         self.pushed: list[RecordsPush] = []
         self.nodes: dict[Address, FakeNode] = {}
@@ -122,11 +119,11 @@
             for number in range(members):
                 self.add(domain, f'{domain}-{number}')
 
-    def add(self, domain: str, instance: str, newest: int = 2) -> FakeNode:
+    def add(self, domain: str, instance: str, newest_schema: int = 2) -> FakeNode:
         """Add a node that knows all others, and make it known to them."""
         address = Address('127.0.0.1', len(self.nodes) + 1)
         member = build_member(instance, domain=domain, peers=address)
-        node = FakeNode(self, member, newest)
+        node = FakeNode(self, member, newest_schema)
         for other in self.nodes.values():
             other.view.merge(member)
             node.view.merge(other.member)
@@ -137,33 +134,35 @@
         for node in self.nodes.values():
             node.start()
 
-    def of(self, domain: str) -> list[FakeNode]:
+    def live_nodes(self, domain: str) -> list[FakeNode]:
         return [n for n in self.nodes.values() if n.alive and n.member.domain == domain]
 
     def isolate(self, domain: str) -> None:
         """Cut a failure domain from the platform and from all others."""
         others = {n.member.domain for n in self.nodes.values()} - {domain}
-        self.cut |= {frozenset((domain, other)) for other in others}
+        self.cut_links |= {frozenset((domain, other)) for other in others}
         self.cut_from_platform.add(domain)
 
     def rejoin(self) -> None:
-        self.cut.clear()
+        self.cut_links.clear()
         self.cut_from_platform.clear()
 
-    async def seconds_until(
+    async def wait_for_version(
         self, service: str, version: int, nodes: list[FakeNode], most: float = 60.0
     ) -> float:
         """Wait until a version is in force at all of some nodes; gives how long it took."""
         loop = asyncio.get_running_loop()
         began = loop.time()
-        while any(n.book.version(service) < version for n in nodes):
+        while any(n.record_cache.version(service) < version for n in nodes):
             if loop.time() - began > most:
-                behind = [n.member.instance for n in nodes if n.book.version(service) < version]
+                behind = [
+                    n.member.instance for n in nodes if n.record_cache.version(service) < version
+                ]
                 raise AssertionError(f'version {version} not in force at {behind}')
             await asyncio.sleep(0.01)
         return loop.time() - began
 
-    def busiest_second(self, since: float) -> int:
+    def max_calls_in_one_second(self, since: float) -> int:
         """Give the most platform calls that began within any one second from a moment on."""
         times = [t for t in self.store.call_times if t >= since]
         return max((sum(t <= other < t + 1 for other in times) for t in times), default=0)
--- a/tests/fakes/store.py
+++ b/tests/fakes/store.py
@@ -8,29 +8,29 @@
 from result import Err, Ok, Result
 
 from dunlinsaddle.platform.store import (
-    WATCH_GRACE,
+    WATCH_GRACE_SECONDS,
     Conflict,
     Listing,
-    Place,
     StoredObject,
     StoreError,
+    StorePosition,
     Unavailable,
-    place_of,
-    version_of,
+    position_to_version,
+    version_to_position,
 )
 
 
 class FakeStore:
     """Keeps the promises of the platform's API, and breaks down when told to.
 
-    Kinds ``apart`` have a counter of versions of their own, so that a test can count the
+    Kinds ``separate_kinds`` have a counter of versions of their own, so that a test can count the
     versions of another kind while a whole node writes these. Lost answers and writes spare
     them, for which of both kinds a node writes first is chance.
     """
 
-    def __init__(self, apart: Collection[str] = ()) -> None:
-        self.apart = apart
-        self.apart_revision = 0
+    def __init__(self, separate_kinds: Collection[str] = ()) -> None:
+        self.separate_kinds = separate_kinds
+        self.separate_revision = 0
         self.objects: dict[tuple[str, str], StoredObject] = {}
         self.revision = 0
         self.epoch = 0
@@ -47,7 +47,7 @@
         self.epoch += 1
         self.revision = revision
         self.objects = {
-            key: held._replace(version=self._version(place_of(held.version).revision))
+            key: held._replace(version=self._version(version_to_position(held.version).revision))
             for key, held in objects.items()
         }
         self._wake()
@@ -57,7 +57,7 @@
         self.changed = asyncio.Event()
 
     def _version(self, revision: int) -> int:
-        return version_of(Place(self.epoch, revision))
+        return position_to_version(StorePosition(self.epoch, revision))
 
     async def get(self, kind: str, name: str) -> Result[StoredObject | None, Unavailable]:
         if await self._fails():
@@ -78,7 +78,7 @@
         return await self._write(kind, name, None, expected)
 
     async def watch(
-        self, kind: str, since: int, timeout: float, grace: float = WATCH_GRACE
+        self, kind: str, since: int, timeout: float, grace: float = WATCH_GRACE_SECONDS
     ) -> Result[Listing, Unavailable]:
         if await self._fails():
             return Err(Unavailable('down'))
@@ -107,7 +107,7 @@
     ) -> Result[StoredObject, StoreError]:
         if await self._fails():
             return Err(Unavailable('down'))
-        if self.drop_writes > 0 and kind not in self.apart:
+        if self.drop_writes > 0 and kind not in self.separate_kinds:
             self.drop_writes -= 1
             return Err(Unavailable('no answer'))
         held = self.objects.get((kind, name))
@@ -116,19 +116,21 @@
         stored = StoredObject(kind, name, self._next_revision(kind), copy.deepcopy(value))
         self.objects[kind, name] = stored
         self._wake()
-        if self.lose_answers > 0 and kind not in self.apart:
+        if self.lose_answers > 0 and kind not in self.separate_kinds:
             self.lose_answers -= 1
             return Err(Unavailable('the answer got lost'))
         return Ok(copy.deepcopy(stored))
 
     def _next_revision(self, kind: str) -> int:
-        if kind in self.apart:
-            self.apart_revision += 1
-            return self.apart_revision
+        if kind in self.separate_kinds:
+            self.separate_revision += 1
+            return self.separate_revision
         self.revision += 1
         return self._version(self.revision)
 
     def _listing(self, kind: str, since: int) -> Listing:
         objects = [o for (k, _), o in self.objects.items() if k == kind and o.version > since]
-        version = self.apart_revision if kind in self.apart else self._version(self.revision)
+        version = (
+            self.separate_revision if kind in self.separate_kinds else self._version(self.revision)
+        )
         return Listing(copy.deepcopy(objects), version)
--- a/tests/store_case.py
+++ b/tests/store_case.py
@@ -14,7 +14,7 @@
 class StoreCase(PausedClockTest):
     """Runs scenarios with a store's client, and the stand-in behind it."""
 
-    def with_platform(self, scenario, handler=None):
+    def run_with_platform(self, scenario, handler=None):
         """Run a scenario; ``handler`` answers in place of the stand-in."""
 
         async def run():
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -1,8 +1,6 @@
-import asyncio
-from random import Random
 
+import asyncio
 import msgspec
-
 from dunlinsaddle.admin import MAX_CHANGE_BYTES
 from dunlinsaddle.calls.client import HttpClient
 from dunlinsaddle.calls.connection import Answered
@@ -10,13 +8,8 @@
 from dunlinsaddle.membership.roster import ROSTERS
 from dunlinsaddle.node import Node
 from dunlinsaddle.records.history import RECORDS
-from tests.builders import (
-    OPERATOR_TOKEN,
-    build_document,
-    build_environment,
-    build_logger,
-    build_settings,
-)
+from random import Random
+from tests.builders import OPERATOR_TOKEN, build_document, build_environment, build_logger, build_settings
 from tests.clock import PausedClockTest
 from tests.fakes.store import FakeStore
 
@@ -34,7 +27,7 @@
                 peers='127.0.0.1:3',
                 operators='127.0.0.1:4',
             )
-            self.store = FakeStore(apart={ROSTERS})
+            self.store = FakeStore(separate_kinds={ROSTERS})
             self.node = Node(settings, build_environment(), build_logger())
             self.node.use_store(self.store)
             self.client = HttpClient()
--- a/tests/test_advertised_state.py
+++ b/tests/test_advertised_state.py
@@ -4,14 +4,14 @@
 
 from dunlinsaddle.calls.http import HttpResponse
 from dunlinsaddle.calls.target import AdvertisedState
-from dunlinsaddle.platform.requests import read_said
+from dunlinsaddle.platform.requests import read_advertised_state
 
 
 class AdvertisedStateTest(TestCase):
     SIGNATURE = (b'server-signature', b's')
 
     def read(self, *headers, status=200, proof=SIGNATURE):
-        return read_said(HttpResponse(status, [proof, *headers], b''), 'i-1')
+        return read_advertised_state(HttpResponse(status, [proof, *headers], b''), 'i-1')
 
     def rate(self, *texts):
         return self.read(*((b'server-limit', text) for text in texts))
--- a/tests/test_changes.py
+++ b/tests/test_changes.py
@@ -9,12 +9,12 @@
 from dunlinsaddle.records.changes import Change, apply_change
 from dunlinsaddle.records.history import (
     AUDIT,
-    HISTORY_BYTES,
+    MAX_HISTORY_BYTES,
     RECORDS,
-    make_room,
-    object_of,
+    archive_oldest_entries,
     read_audit,
     read_history,
+    read_record_object,
 )
 from tests.builders import build_change, build_document
 from tests.clock import PausedClockTest
@@ -26,8 +26,8 @@
         super().setUp()
         self.store = FakeStore()
 
-    def apply(self, change: Change, newest: int = 2):
-        return self.run_paused(apply_change(self.store, change, newest))
+    def apply(self, change: Change, newest_schema: int = 2):
+        return self.run_paused(apply_change(self.store, change, newest_schema))
 
     def trail(self, service: str = 'cut-orders'):
         return self.run_paused(read_history(self.store, service)).unwrap()
@@ -150,7 +150,7 @@
         self.assertEqual(400, len(audit))
         sizes = [len(msgspec.json.encode(o.value)) for o in self.store.objects.values()]
         self.assertGreater(len([k for k, _ in self.store.objects if k == AUDIT]), 0)
-        self.assertLess(max(sizes), 2 * HISTORY_BYTES)
+        self.assertLess(max(sizes), 2 * MAX_HISTORY_BYTES)
 
     def test_audit_since_a_moment_reads_no_more_than_it_needs(self):
         version = 0
@@ -173,10 +173,12 @@
             version = (
                 self.apply(build_change(str(number), doc=doc, expected=version)).unwrap().version
             )
-        value = object_of(self.store.objects[RECORDS, 'cut-orders'])
+        value = read_record_object(self.store.objects[RECORDS, 'cut-orders'])
         begun = {**value, 'history': value['history'][:6]}
-        self.run_paused(make_room(self.store, 'cut-orders', begun, 10))
-        fitting = self.run_paused(make_room(self.store, 'cut-orders', value, 10)).unwrap()
+        self.run_paused(archive_oldest_entries(self.store, 'cut-orders', begun, 10))
+        fitting = self.run_paused(
+            archive_oldest_entries(self.store, 'cut-orders', value, 10)
+        ).unwrap()
         self.assertEqual([str(n) for n in range(3, 10)], [e['id'] for e in fitting['history']])
         self.assertEqual(1, fitting['archived'])
 
@@ -186,7 +188,7 @@
         old = {'schema': 1, 'service': 'cut-orders', 'requests': []}
         first = self.apply(build_change('a')).unwrap()
         change = build_change('b', doc=old, expected=first.version)
-        rejected = self.apply(change, newest=1).unwrap_err()
+        rejected = self.apply(change, newest_schema=1).unwrap_err()
         self.assertIs(ErrorKind.NEWER_SCHEMA, rejected.failure.kind)
         self.assertIsInstance(self.apply(change._replace(downgrade=True)), Ok)
         upgraded = build_change('c', expected=self.trail()[-1].after)
--- a/tests/test_client.py
+++ b/tests/test_client.py
@@ -5,7 +5,7 @@
 from dunlinsaddle.calls.http import HttpRequest
 from dunlinsaddle.calls.messages import Lost, NotSent
 from dunlinsaddle.errors import ErrorKind
-from dunlinsaddle.platform.client import CALL_TIMEOUT, HttpObjectStore
+from dunlinsaddle.platform.client import CALL_TIMEOUT_SECONDS, HttpObjectStore
 from dunlinsaddle.settings import Address
 from tests.clock import PausedClockTest
 from tests.fakes.target import ScriptedTarget, ok_response
@@ -377,6 +377,6 @@
 
         first, failed_after, second, elapsed = self.run_with_target(script, use)
         self.assertTrue(first.is_err())
-        self.assertAlmostEqual(CALL_TIMEOUT, failed_after, delta=0.05)
+        self.assertAlmostEqual(CALL_TIMEOUT_SECONDS, failed_after, delta=0.05)
         self.assertTrue(second.is_ok())
         self.assertLess(elapsed, 0.1)
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -1,14 +1,13 @@
+
 import asyncio
 import itertools
-from collections import Counter
-
 import msgspec
-from result import Err
-
+from collections import Counter
 from dunlinsaddle.calls.http import HttpRequest
 from dunlinsaddle.platform.store import Unavailable
 from dunlinsaddle.records.history import RECORDS, entries_after
 from dunlinsaddle.settings import Address
+from result import Err
 from tests.builders import OPERATOR_TOKEN, build_document
 from tests.clock import PausedClockTest
 from tests.fakes.site import Site, Target, seconds_until
@@ -84,7 +83,7 @@
                     response = await site.call(name, f'/cut-orders{call[0]}', call[1])
                     whole = response.status != 200 or response.body == call[0].encode()
                     tallies[name][response.status if whole else 'not its own'] += 1
-                    seen[name].append(site.nodes[name].book.version('cut-orders'))
+                    seen[name].append(site.nodes[name].record_cache.version('cut-orders'))
                     await asyncio.sleep(0.1)
 
             loads = [asyncio.create_task(load(name)) for name in DOMAINS]
@@ -97,9 +96,11 @@
             down.down = True
             version = await site.write(deadline=3.0)
             await asyncio.sleep(5)
-            near = [site.nodes[n].book.version('cut-orders') for n in ('menai-1', 'menai-2')]
+            near = [
+                site.nodes[n].record_cache.version('cut-orders') for n in ('menai-1', 'menai-2')
+            ]
             site.cut = lambda one, other: False
-            look = lambda: asyncio.sleep(0, far.book.version('cut-orders'))  # noqa: E731
+            look = lambda: asyncio.sleep(0, far.record_cache.version('cut-orders'))  # noqa: E731
             healed = await seconds_until(look, lambda held: held >= version)
             await asyncio.sleep(5)
             for task in loads:
@@ -158,7 +159,7 @@
             versions = await asyncio.gather(*map(operate, range(8)))
             await asyncio.sleep(2)
             held = site.store.objects[RECORDS, 'cut-orders']
-            books = {n.book.version('cut-orders') for n in site.nodes.values()}
+            books = {n.record_cache.version('cut-orders') for n in site.nodes.values()}
             return versions, entries_after(held, version), books
 
         versions, entries, books = self.with_site(use)
--- a/tests/test_once.py
+++ b/tests/test_once.py
@@ -1,18 +1,18 @@
-import asyncio
-from typing import Any
 
+import asyncio
 from dunlinsaddle.calls.call_state import PendingCall
 from dunlinsaddle.calls.handlers import CallerHandler
 from dunlinsaddle.calls.http import HttpRequest
 from dunlinsaddle.calls.messages import Reply, refusal
 from dunlinsaddle.errors import ErrorKind, Failure, Outcome
 from dunlinsaddle.membership.view import State
-from dunlinsaddle.records.book import RecordBook
 from dunlinsaddle.records.models import VersionedRecord
+from dunlinsaddle.records.record_cache import RecordCache
 from dunlinsaddle.stats import Stats
 from tests.builders import build_member, build_record
 from tests.clock import PausedClockTest
-from tests.once_cluster import NAMES, SERVICE, Cluster, NodeProcess
+from tests.once_cluster import Cluster, NAMES, NodeProcess, SERVICE
+from typing import Any
 
 
 class EntryTest(PausedClockTest):
@@ -26,10 +26,10 @@
                 return refusal(Failure(ErrorKind.KEY_IN_PROGRESS, retry_after=5.0))
 
         async def scenario() -> None:
-            book = RecordBook()
-            book.take(VersionedRecord('cut-orders', 1, build_record(resend_ratio=0.0)))
+            record_cache = RecordCache()
+            record_cache.update(VersionedRecord('cut-orders', 1, build_record(resend_ratio=0.0)))
             dispatcher: Any = RunningKeyDispatcher()
-            handler = CallerHandler(book, dispatcher, Stats())
+            handler = CallerHandler(record_cache, dispatcher, Stats())
             headers = [(b'idempotency-key', b'order-17')]
             req = HttpRequest('POST', '/cut-orders/stock', headers, b'', '10.0.0.1')
             statuses = {(await handler.handle(req)).status for _ in range(12)}
--- a/tests/test_platform_formats.py
+++ b/tests/test_platform_formats.py
@@ -8,22 +8,22 @@
 from dunlinsaddle.mesh.heartbeats import Deregistration, Heartbeat, HeartbeatTracker
 from dunlinsaddle.platform.heartbeats import read_heartbeat
 from dunlinsaddle.platform.node_file import read_node_file
-from dunlinsaddle.platform.requests import read_answer, read_terms
-from dunlinsaddle.platform.units import read_seconds, read_version
+from dunlinsaddle.platform.requests import decode_reply, read_caller_headers
+from dunlinsaddle.platform.units import parse_seconds, parse_version
 from dunlinsaddle.settings import Address
 from tests.builders import build_node_file
 
 
 class UnitsTest(TestCase):
     def test_times_and_versions(self):
-        self.assertEqual((1.5, 2.5, 0.0), tuple(map(read_seconds, ('1500ms', '2.5s', '0ms'))))
-        self.assertEqual(12, read_version('r12'))
+        self.assertEqual((1.5, 2.5, 0.0), tuple(map(parse_seconds, ('1500ms', '2.5s', '0ms'))))
+        self.assertEqual(12, parse_version('r12'))
 
     def test_what_is_neither_is_refused(self):
         for value in ('1500', 'ms', '-1s', 'infs', 'nans', 7, None):
-            self.assertThat(lambda v=value: read_seconds(v), raises(ValueError))
+            self.assertThat(lambda v=value: parse_seconds(v), raises(ValueError))
         for value in ('12', 'r', 'r-1', 'r1.5', 12, None):
-            self.assertThat(lambda v=value: read_version(v), raises(ValueError))
+            self.assertThat(lambda v=value: parse_version(v), raises(ValueError))
 
 
 class NodeFileTest(TestCase):
@@ -128,21 +128,23 @@
     SIGNED = [(b'request-id', b'r'), (b'server-signature', b's')]
 
     def test_only_a_target_that_says_so_has_not_run_it(self):
-        said = read_answer(HttpResponse(503, [(b'not-executed', b'1')], b''))
+        said = decode_reply(HttpResponse(503, [(b'not-executed', b'1')], b''))
         self.assertEqual(
             (Outcome.NOT_RUN, ErrorKind.TARGET_REFUSED.value), (said.outcome, said.kind)
         )
-        silent = read_answer(HttpResponse(503, self.SIGNED, b''))
+        silent = decode_reply(HttpResponse(503, self.SIGNED, b''))
         self.assertEqual((Outcome.DONE, 503), (silent.outcome, silent.status))
-        self.assertEqual(Outcome.NOT_RUN, read_answer(HttpResponse(421, [], b'')).outcome)
+        self.assertEqual(Outcome.NOT_RUN, decode_reply(HttpResponse(421, [], b'')).outcome)
 
     def test_a_success_that_is_not_the_targets_own_is_no_answer(self):
         encoded = [*self.SIGNED, (b'content-encoding', b'gzip')]
         for headers in ([], self.SIGNED[:1], self.SIGNED[1:], encoded):
-            reply = read_answer(HttpResponse(200, headers, b'x'))
+            reply = decode_reply(HttpResponse(200, headers, b'x'))
             self.assertEqual(ErrorKind.INCOMPLETE_ANSWER.value, reply.kind, headers)
 
     def test_a_time_that_cannot_be_read_counts_as_none(self):
         for text in (b'', b'soon', b'-1', b'1.5'):
             headers = [(b'deadline-milliseconds', text)]
-            self.assertIsNone(read_terms(HttpRequest('GET', '/', headers, b'', '')).time_left)
+            self.assertIsNone(
+                read_caller_headers(HttpRequest('GET', '/', headers, b'', '')).remaining_seconds
+            )
--- a/tests/test_restored_store.py
+++ b/tests/test_restored_store.py
@@ -1,14 +1,11 @@
 """The store is restored from an older copy, so it assigns the same revisions again."""
-
 import asyncio
-
 import msgspec
-
 from dunlinsaddle.calls.http import HttpRequest
-from dunlinsaddle.platform.store import ABSENT, Conflict, Place, place_of
+from dunlinsaddle.platform.store import ABSENT, Conflict, StorePosition, version_to_position
 from standins.platform import Platform
 from tests.builders import build_configuration, build_document, build_record_sync, running_follower
-from tests.mesh_case import SETTLE_SECONDS, MeshTest
+from tests.mesh_case import MeshTest, SETTLE_SECONDS
 from tests.store_case import StoreCase
 
 EFFECTIVE_SECONDS = 2.0  #: within which a change must take effect
@@ -56,9 +53,9 @@
             await operator.spend_revisions(6)
             return (await store.watch('config', since, 5.0)).unwrap()
 
-        listing = self.with_platform(scenario)
+        listing = self.run_with_platform(scenario)
         self.assertEqual(['r23'], [held.value['version'] for held in listing.objects])
-        self.assertEqual(Place(1, 8), place_of(listing.version))
+        self.assertEqual(StorePosition(1, 8), version_to_position(listing.version))
 
     def test_refused_watch_costs_one_call(self):
         """A refusal names the new epoch: all watchers of a failing store might call it twice."""
@@ -71,7 +68,7 @@
             refused = await store.watch('config', since, 5.0)
             return store.calls - before, refused.is_err()
 
-        self.assertEqual((1, True), self.with_platform(scenario))
+        self.assertEqual((1, True), self.run_with_platform(scenario))
 
     def test_conditional_write_with_a_version_of_an_earlier_epoch_changes_nothing(self):
         """Another writer's object has the same revision as the lost one that was read before."""
@@ -81,14 +78,17 @@
             read = (await store.put('records', 'a', 'mine', ABSENT)).unwrap()
             platform.restore(copy)
             theirs = (await store.put('records', 'a', 'theirs', ABSENT)).unwrap()
-            self.assertEqual(place_of(read.version).revision, place_of(theirs.version).revision)
+            self.assertEqual(
+                version_to_position(read.version).revision,
+                version_to_position(theirs.version).revision,
+            )
             refused = [
                 await store.put('records', 'a', 'mine again', read.version),
                 await store.delete('records', 'a', read.version),
             ]
             return refused, (await store.get('records', 'a')).unwrap()
 
-        refused, held = self.with_platform(scenario)
+        refused, held = self.run_with_platform(scenario)
         self.assertEqual('theirs', held.value)
         self.assertEqual([Conflict(held)] * 2, [result.unwrap_err() for result in refused])
 
@@ -108,7 +108,7 @@
             platform.faults = {}
             return mixed, (await store.watch('records', mixed.version, 5.0)).unwrap()
 
-        mixed, repeated = self.with_platform(scenario)
+        mixed, repeated = self.run_with_platform(scenario)
         self.assertIn('lost', [held.value for held in mixed.objects])
         self.assertEqual(['a', 'b', 'c'], [held.name for held in repeated.objects])
 
@@ -127,16 +127,16 @@
             await store.put('records', 'cut-orders', {'record': None}, held.version)
             task = asyncio.create_task(sync.run())
             await asyncio.sleep(5)
-            before = sync.book.find('cut-orders')
+            before = sync.record_cache.find('cut-orders')
             platform.restore(copy)
             held = (await store.get('records', 'cut-orders')).unwrap()
             document = build_document(deadline=1.25)
             await store.put('records', 'cut-orders', {'record': document}, held.version)
             await asyncio.sleep(5)
             task.cancel()
-            return before, sync.book.find('cut-orders').deadline
+            return before, sync.record_cache.find('cut-orders').deadline
 
-        self.assertEqual((None, 1.25), self.with_platform(scenario))
+        self.assertEqual((None, 1.25), self.run_with_platform(scenario))
 
 
 class ConfigFollowerTest(StoreCase):
@@ -145,7 +145,7 @@
             async with running_follower(store) as follower:
                 return await scenario(platform, follower)
 
-        return self.with_platform(run)
+        return self.run_with_platform(run)
 
     async def restore_older_copy(self, platform: Platform) -> None:
         """Write r18 and r21, and restore a copy that lacks r21 and all writes since r18."""
--- a/tests/test_routes.py
+++ b/tests/test_routes.py
@@ -1,16 +1,15 @@
-import asyncio
-from random import Random
-
-from result import Err, Ok
-from testtools import TestCase
 
+import asyncio
 from dunlinsaddle.platform.configuration import read_configuration
-from dunlinsaddle.platform.store import WATCH_GRACE, Unavailable
+from dunlinsaddle.platform.store import Unavailable, WATCH_GRACE_SECONDS
 from dunlinsaddle.routes.models import WeightedService
 from dunlinsaddle.routes.table import RouteTable, choose_service
+from random import Random
+from result import Err, Ok
 from tests.builders import build_configuration, build_route, running_follower
 from tests.clock import PausedClockTest
 from tests.fakes.store import FakeStore
+from testtools import TestCase
 
 
 class RouteTableTest(TestCase):
@@ -87,7 +86,7 @@
 
     silent_until = 0.5  #: seconds on the paused clock, which starts at 0
 
-    async def watch(self, kind, since, timeout, grace=WATCH_GRACE):
+    async def watch(self, kind, since, timeout, grace=WATCH_GRACE_SECONDS):
         if asyncio.get_running_loop().time() < self.silent_until:
             await asyncio.sleep(timeout + grace)
             return Err(Unavailable('no answer in time'))
@@ -101,7 +100,7 @@
         super().__init__()
         self.watch_count = 0
 
-    async def watch(self, kind, since, timeout, grace=WATCH_GRACE):
+    async def watch(self, kind, since, timeout, grace=WATCH_GRACE_SECONDS):
         self.watch_count += 1
         if self.watch_count == 2:
             await asyncio.sleep(1.0)
--- a/tests/test_schema.py
+++ b/tests/test_schema.py
@@ -1,9 +1,9 @@
 from random import Random
 
+from dunlinsaddle.records.record_cache import RecordCache
 from testtools import TestCase
 
 from dunlinsaddle.errors import ErrorKind
-from dunlinsaddle.records.book import RecordBook
 from dunlinsaddle.records.diff import changed_fields
 from dunlinsaddle.records.models import Rank, RecordEntry
 from dunlinsaddle.records.schema import MAX_RECORD_BYTES, decode_record, encode_record
@@ -80,62 +80,66 @@
     def test_nothing_goes_back_by_any_way(self):
         # A late watch answer, an old peer or a replayed push brings an old version, also of a
         # record that was deleted since: what is in force stays.
-        book = RecordBook()
+        record_cache = RecordCache()
         old, new = RecordEntry('cut-orders', 3, OLD), RecordEntry('cut-orders', 5, None)
-        self.assertTrue(book.take_entry(new))
-        self.assertFalse(book.take_entry(old))
-        self.assertFalse(book.take_entry(new))
-        self.assertIsNone(book.find('cut-orders'))
-        self.assertEqual([new], book.documents_after(0))
+        self.assertTrue(record_cache.update_entry(new))
+        self.assertFalse(record_cache.update_entry(old))
+        self.assertFalse(record_cache.update_entry(new))
+        self.assertIsNone(record_cache.find('cut-orders'))
+        self.assertEqual([new], record_cache.documents_after(0))
 
     def test_node_of_the_old_schema_keeps_its_last_good_record(self):
         # During a changeover a node that knows only schema 1 meets a 2: it goes on with the
         # record it could read, says so, and still hands the new one to others.
-        book = RecordBook(newest=1)
-        book.take_entry(RecordEntry('cut-orders', 3, OLD))
+        record_cache = RecordCache(newest_schema=1)
+        record_cache.update_entry(RecordEntry('cut-orders', 3, OLD))
         newer = RecordEntry('cut-orders', 5, build_document())
-        self.assertTrue(book.take_entry(newer))
-        self.assertEqual((3, 5.0), (book.version('cut-orders'), book.find('cut-orders').deadline))
-        self.assertEqual(5, book.unreadable['cut-orders'].version)
-        self.assertIn('schema: 2 is newer than 1', book.unreadable['cut-orders'].why)
-        self.assertEqual([newer], book.documents_after(3))
-        book.take_entry(RecordEntry('cut-orders', 6, {**OLD, 'retries': 1}))
-        self.assertEqual((6, {}), (book.version('cut-orders'), book.unreadable))
+        self.assertTrue(record_cache.update_entry(newer))
+        self.assertEqual(
+            (3, 5.0), (record_cache.version('cut-orders'), record_cache.find('cut-orders').deadline)
+        )
+        self.assertEqual(5, record_cache.unreadable['cut-orders'].version)
+        self.assertIn('schema: 2 is newer than 1', record_cache.unreadable['cut-orders'].why)
+        self.assertEqual([newer], record_cache.documents_after(3))
+        record_cache.update_entry(RecordEntry('cut-orders', 6, {**OLD, 'retries': 1}))
+        self.assertEqual((6, {}), (record_cache.version('cut-orders'), record_cache.unreadable))
 
     def test_unreadable_record_changes_nothing(self):
-        book = RecordBook()
-        book.take_entry(RecordEntry('cut-orders', 3, build_document()))
+        record_cache = RecordCache()
+        record_cache.update_entry(RecordEntry('cut-orders', 3, build_document()))
         for version, doc in enumerate(('text', 7, [], {'schema': 2}, build_document('other')), 4):
-            book.take_entry(RecordEntry('cut-orders', version, doc))
-            self.assertEqual(3, book.version('cut-orders'))
-            self.assertEqual(version, book.unreadable['cut-orders'].version)
+            record_cache.update_entry(RecordEntry('cut-orders', version, doc))
+            self.assertEqual(3, record_cache.version('cut-orders'))
+            self.assertEqual(version, record_cache.unreadable['cut-orders'].version)
 
     def test_random_documents_never_raise_and_never_half_take_force(self):
         # A peer of another version, or a broken one, hands on anything that MessagePack can
         # hold. An exception here would end the link; a half-read record would be worse.
         rng = Random(4)
-        book = RecordBook()
-        book.take_entry(RecordEntry('cut-orders', 1, build_document()))
+        record_cache = RecordCache()
+        record_cache.update_entry(RecordEntry('cut-orders', 1, build_document()))
         good = build_document(deadline=1.0, targets={'slots': 1})
         unreadable = 0
         for version in range(2, 3002):
-            before = book.version('cut-orders'), book.find('cut-orders')
+            before = record_cache.version('cut-orders'), record_cache.find('cut-orders')
             doc = random_document(rng, good)
-            book.take_entry(RecordEntry('cut-orders', version, doc))
-            if book.version('cut-orders') == version:
+            record_cache.update_entry(RecordEntry('cut-orders', version, doc))
+            if record_cache.version('cut-orders') == version:
                 want = None if doc is None else decode_record(doc).unwrap()
-                self.assertEqual(want, book.find('cut-orders'))
+                self.assertEqual(want, record_cache.find('cut-orders'))
                 continue
             unreadable += 1
-            self.assertEqual(before, (book.version('cut-orders'), book.find('cut-orders')))
-            self.assertEqual(version, book.unreadable['cut-orders'].version)
+            self.assertEqual(
+                before, (record_cache.version('cut-orders'), record_cache.find('cut-orders'))
+            )
+            self.assertEqual(version, record_cache.unreadable['cut-orders'].version)
         self.assertGreater(unreadable, 2000)
 
     def test_revision_is_not_complete_over_a_gap(self):
-        book = RecordBook()
-        book.complete(0, 4)
-        book.complete(6, 9)
-        self.assertEqual(4, book.complete_revision)
-        book.complete(2, 7)
-        book.complete(0, 5)
-        self.assertEqual(7, book.complete_revision)
+        record_cache = RecordCache()
+        record_cache.mark_complete(0, 4)
+        record_cache.mark_complete(6, 9)
+        self.assertEqual(4, record_cache.complete_revision)
+        record_cache.mark_complete(2, 7)
+        record_cache.mark_complete(0, 5)
+        self.assertEqual(7, record_cache.complete_revision)
--- a/tests/test_store_client.py
+++ b/tests/test_store_client.py
@@ -31,7 +31,7 @@
             self.assertEqual(Unavailable('status 413'), large.unwrap_err())
             self.assertIsNone((await store.get('records', 'b')).unwrap())
 
-        self.with_platform(scenario)
+        self.run_with_platform(scenario)
 
     def test_watch_loses_no_change_however_writes_fall(self):
         # One watch after another, each from where the last ended, while changes are written
@@ -52,7 +52,7 @@
                 since, calls = listing.version, calls + 1
             return seen, calls
 
-        seen, calls = self.with_platform(scenario)
+        seen, calls = self.run_with_platform(scenario)
         self.assertEqual([f's{n}' for n in range(200)], sorted(seen, key=lambda n: int(n[1:])))
         self.assertEqual(200, len(set(seen)))
         self.assertLess(calls, 400)
@@ -65,7 +65,7 @@
             platform.faults = {'down': True}
             return lost, held.value, await store.get('records', 'a')
 
-        lost, value, out = self.with_platform(scenario)
+        lost, value, out = self.run_with_platform(scenario)
         self.assertIsInstance(lost.unwrap_err(), Unavailable)
         self.assertEqual(1, value)
         self.assertIsInstance(out.unwrap_err(), Unavailable)
@@ -80,13 +80,13 @@
             platform.faults = {'delay': 6.0}
             task = asyncio.create_task(sync.run())
             await asyncio.sleep(60)
-            version, slow = sync.book.version('cut-orders'), sync._grace.seconds
+            version, slow = sync.record_cache.version('cut-orders'), sync._grace.seconds
             platform.faults = {}
             await asyncio.sleep(20)
             task.cancel()
             return version, slow > 6, sync._grace.seconds
 
-        self.assertEqual((2, True, 2.0), self.with_platform(scenario))
+        self.assertEqual((2, True, 2.0), self.run_with_platform(scenario))
 
     def test_a_listing_of_many_pages_is_read_whole(self):
         async def scenario(store, platform):
@@ -95,7 +95,7 @@
             platform.faults = {'page': 5}
             return (await store.list('records')).unwrap()
 
-        listing = self.with_platform(scenario)
+        listing = self.run_with_platform(scenario)
         self.assertEqual(list(range(23)), [held.value for held in listing.objects])
 
     def test_a_watch_whose_history_is_gone_reads_all_anew(self):
@@ -108,7 +108,7 @@
             listing = (await store.watch('records', since - 1, 3)).unwrap()
             return listing, dict(store.failures)
 
-        listing, failures = self.with_platform(scenario)
+        listing, failures = self.run_with_platform(scenario)
         self.assertEqual([1, 2], [held.value for held in listing.objects])
         self.assertEqual({'410': 1}, failures)
 
@@ -123,7 +123,7 @@
             platform.faults = {}
             return results, (await store.get('records', 'a')).unwrap(), store.failures
 
-        results, held, failures = self.with_platform(scenario)
+        results, held, failures = self.run_with_platform(scenario)
         self.assertTrue(all(isinstance(r.unwrap_err(), Unavailable) for r in results))
         self.assertIsNone(held)
         self.assertEqual({'503': 4, '429': 2}, dict(failures))
@@ -139,7 +139,7 @@
             await asyncio.sleep(10)
             return first, second, (await store.get('records', 'a')).unwrap()
 
-        first, second, held = self.with_platform(scenario)
+        first, second, held = self.run_with_platform(scenario)
         self.assertIsInstance(first.unwrap_err(), Unavailable)
         self.assertTrue(second.is_ok())
         self.assertEqual('in time', held.value)
@@ -151,7 +151,7 @@
             await store.put('records', 'c', 3, 0)
             return (await store.list('records')).unwrap()
 
-        self.assertEqual([1, 3], [held.value for held in self.with_platform(scenario).objects])
+        self.assertEqual([1, 3], [held.value for held in self.run_with_platform(scenario).objects])
 
     def test_garbage_counts_as_no_answer(self):
         # A proxy on the way answers with its own page, a body is cut short, types are wrong:
@@ -192,4 +192,4 @@
         async def garbage(req):
             return HttpResponse(answer[0], [], answer[1])
 
-        self.with_platform(scenario, garbage)
+        self.run_with_platform(scenario, garbage)
--- a/tests/test_sync.py
+++ b/tests/test_sync.py
@@ -4,10 +4,10 @@
 from dunlinsaddle.membership.roster import ROSTERS
 from dunlinsaddle.membership.view import State
 from dunlinsaddle.node import Node
-from dunlinsaddle.records.chunks import CHUNK_BYTES
+from dunlinsaddle.records.chunks import MAX_CHUNK_BYTES
 from dunlinsaddle.records.history import RECORDS
 from dunlinsaddle.records.models import RecordEntry
-from dunlinsaddle.records.topology import FANOUT, WATCHERS
+from dunlinsaddle.records.topology import FANOUT, WATCHER_COUNT
 from random import Random
 from tests.builders import build_document, build_environment, build_logger, build_settings
 from tests.clock import PausedClockTest
@@ -36,7 +36,7 @@
             for number in range(20):
                 version = await write(fleet, 1.0 + number)
                 nodes = list(fleet.nodes.values())
-                taken.append(await fleet.seconds_until('cut-orders', version, nodes))
+                taken.append(await fleet.wait_for_version('cut-orders', version, nodes))
                 await asyncio.sleep(fleet.rng.random() * 3)
             return max(taken)
 
@@ -49,14 +49,16 @@
             fleet = FakeFleet(['menai-hall'], 120)
             fleet.start()
             await asyncio.sleep(10)
-            watchers = fleet.of('menai-hall')[0].sync.watchers()
-            nodes = [n for n in fleet.of('menai-hall') if n.member.instance not in watchers]
+            watchers = fleet.live_nodes('menai-hall')[0].sync.watchers()
+            nodes = [n for n in fleet.live_nodes('menai-hall') if n.member.instance not in watchers]
             for node in fleet.rng.sample(nodes, 40):
                 node.kill()
             await asyncio.sleep(0.1)
             version = await write(fleet, 2.0)
-            taken = await fleet.seconds_until('cut-orders', version, fleet.of('menai-hall'))
-            return taken, max(n.sent for n in fleet.nodes.values())
+            taken = await fleet.wait_for_version(
+                'cut-orders', version, fleet.live_nodes('menai-hall')
+            )
+            return taken, max(n.push_count for n in fleet.nodes.values())
 
         taken, sent = self.run_paused(scenario())
         self.assertLess(taken, IN_FORCE_SECONDS)
@@ -69,14 +71,14 @@
             fleet = FakeFleet(['menai-hall'], 120, seed)
             fleet.start()
             await asyncio.sleep(10)
-            watchers = fleet.of('menai-hall')[0].sync.watchers()
-            nodes = [n for n in fleet.of('menai-hall') if n.member.instance not in watchers]
+            watchers = fleet.live_nodes('menai-hall')[0].sync.watchers()
+            nodes = [n for n in fleet.live_nodes('menai-hall') if n.member.instance not in watchers]
             for node in fleet.rng.sample(nodes, 12):
                 node.freeze()
             await asyncio.sleep(0.1)
             version = await write(fleet, 2.0)
-            reachable = [n for n in fleet.of('menai-hall') if not n.frozen]
-            return await fleet.seconds_until('cut-orders', version, reachable)
+            reachable = [n for n in fleet.live_nodes('menai-hall') if not n.frozen]
+            return await fleet.wait_for_version('cut-orders', version, reachable)
 
         for seed in (10, 19, 30, 31):
             self.assertLess(self.run_paused(scenario(seed)), IN_FORCE_SECONDS)
@@ -92,7 +94,9 @@
             fleet.cut_from_platform.add('menai-hall')
             await asyncio.sleep(1)
             version = await write(fleet, 2.0)
-            return await fleet.seconds_until('cut-orders', version, fleet.of('menai-hall'))
+            return await fleet.wait_for_version(
+                'cut-orders', version, fleet.live_nodes('menai-hall')
+            )
 
         self.assertLess(self.run_paused(scenario()), IN_FORCE_SECONDS)
 
@@ -111,8 +115,12 @@
             version = await write(fleet, 2.0)
             await asyncio.sleep(fleet.rng.random() * 12)
             fleet.rejoin()
-            taken = await fleet.seconds_until('cut-orders', version, fleet.of('menai-hall'))
-            return taken, [n.book.find('slab-stock') for n in fleet.of('menai-hall')]
+            taken = await fleet.wait_for_version(
+                'cut-orders', version, fleet.live_nodes('menai-hall')
+            )
+            return taken, [
+                n.record_cache.find('slab-stock') for n in fleet.live_nodes('menai-hall')
+            ]
 
         for seed in range(40):
             taken, deleted = self.run_paused(scenario(seed))
@@ -126,13 +134,15 @@
             fleet = FakeFleet(DOMAINS, 6)
             fleet.start()
             await asyncio.sleep(4)
-            names = fleet.of('menai-hall')[0].sync.watchers()
-            for node in fleet.of('menai-hall'):
+            names = fleet.live_nodes('menai-hall')[0].sync.watchers()
+            for node in fleet.live_nodes('menai-hall'):
                 if node.member.instance in names:
                     node.kill()
             await asyncio.sleep(0.1)
             version = await write(fleet, 2.0)
-            return await fleet.seconds_until('cut-orders', version, fleet.of('menai-hall'))
+            return await fleet.wait_for_version(
+                'cut-orders', version, fleet.live_nodes('menai-hall')
+            )
 
         self.assertLess(self.run_paused(scenario()), IN_FORCE_SECONDS)
 
@@ -144,14 +154,14 @@
             fleet.start()
             await asyncio.sleep(20)
             for domain in DOMAINS:
-                names = fleet.of(domain)[0].sync.watchers()
-                for node in fleet.of(domain):
+                names = fleet.live_nodes(domain)[0].sync.watchers()
+                for node in fleet.live_nodes(domain):
                     if node.member.instance in names:
                         node.kill()
             await asyncio.sleep(0.1)
             version = await write(fleet, 2.0)
             alive = [n for n in fleet.nodes.values() if n.alive]
-            return await fleet.seconds_until('cut-orders', version, alive)
+            return await fleet.wait_for_version('cut-orders', version, alive)
 
         self.assertLess(self.run_paused(scenario()), 40.0)
 
@@ -166,7 +176,7 @@
             return before, node.sync.watchers(), node.member.instance
 
         before, after, me = self.run_paused(scenario())
-        self.assertEqual((WATCHERS, WATCHERS), (len(before), len(after)))
+        self.assertEqual((WATCHER_COUNT, WATCHER_COUNT), (len(before), len(after)))
         self.assertEqual(set(), (set(before) & set(after)) - {me})
 
 
@@ -182,7 +192,7 @@
             fresh = fleet.add('menai-hall', 'menai-hall-fresh')
             fresh.start()
             await asyncio.sleep(1)
-            return len(list(fresh.book.entries())), fresh.book.complete_revision
+            return len(list(fresh.record_cache.entries())), fresh.record_cache.complete_revision
 
         self.assertEqual((30, 30), self.run_paused(scenario()))
 
@@ -200,14 +210,18 @@
             version = await write(fleet, 2.0)
             for node in others:
                 await node.sync._watch(0)
-            old.book._documents = {e.service: e for e in old.book.documents_after(0)[:2]}
+            old.record_cache._documents = {
+                e.service: e for e in old.record_cache.documents_after(0)[:2]
+            }
             fleet.cut_from_platform.add('menai-hall')
             fresh = fleet.add('menai-hall', 'fresh')
             await fresh.sync._pull(old.member)
             for node in others:
                 await fresh.sync._pull(node.member)
             await fresh.sync._pull(old.member)
-            return fresh.book.version('cut-orders') - version, fresh.book.find('slab-stock')
+            return fresh.record_cache.version('cut-orders') - version, fresh.record_cache.find(
+                'slab-stock'
+            )
 
         self.assertEqual((0, None), self.run_paused(scenario()))
 
@@ -226,7 +240,7 @@
                 await write(fleet, 1.0 + step, rng.choice(['cut-orders', 'slab-stock']))
                 await asyncio.sleep(rng.random())
                 for node in fleet.nodes.values():
-                    for entry in node.book.entries():
+                    for entry in node.record_cache.entries():
                         key = (node.member.instance, entry.service)
                         self.assertGreaterEqual(entry.version, floor.get(key, 0))
                         floor[key] = entry.version
@@ -235,16 +249,16 @@
             await asyncio.sleep(CATCH_UP_SECONDS)
             want = {name: held.version for (_, name), held in fleet.store.objects.items()}
             for node in fleet.nodes.values():
-                have = {e.service: e.version for e in node.book.entries()}
+                have = {e.service: e.version for e in node.record_cache.entries()}
                 self.assertEqual(want, have)
 
         for seed in range(10):
             self.run_paused(scenario(seed))
 
     def assert_complete(self, fleet: FakeFleet, node: FakeNode) -> None:
-        have = {e.service: e.version for e in node.book.entries()}
+        have = {e.service: e.version for e in node.record_cache.entries()}
         for (_, name), held in fleet.store.objects.items():
-            if held.version <= node.book.complete_revision:
+            if held.version <= node.record_cache.complete_revision:
                 self.assertEqual(held.version, have.get(name))
 
     async def disturb(self, fleet: FakeFleet, rng: Random) -> None:
@@ -258,7 +272,7 @@
             case 3:
                 nodes = list(fleet.nodes.values())
                 for push in rng.sample(fleet.pushed, min(20, len(fleet.pushed))):
-                    rng.choice(nodes).take(push)
+                    rng.choice(nodes).receive(push)
             case 4:
                 fleet.add(rng.choice(DOMAINS), f'fresh-{len(fleet.nodes)}').start()
 
@@ -272,10 +286,10 @@
             await write(fleet, 1.0, 'slab-stock')
             version = await write(fleet, 1.0)
             entry = RecordEntry('cut-orders', version, build_document())
-            one.take(RecordsPush(1, version, 'menai-hall', '', [entry]))
+            one.receive(RecordsPush(1, version, 'menai-hall', '', [entry]))
             await one.sync._watch(0)
             await asyncio.sleep(0.1)
-            return two.book.complete_revision, two.book.version('cut-orders')
+            return two.record_cache.complete_revision, two.record_cache.version('cut-orders')
 
         self.assertEqual((2, 2), self.run_paused(scenario()))
 
@@ -284,7 +298,7 @@
         # keeps its own last good record, says why, and the new record still arrives.
         async def scenario():
             fleet = FakeFleet([], 0)
-            old = fleet.add('menai-hall', 'old', newest=1)
+            old = fleet.add('menai-hall', 'old', newest_schema=1)
             new = fleet.add('bangor-hall', 'new')
             first = {'schema': 1, 'service': 'cut-orders', 'deadline_seconds': 4.0}
             await fleet.store.put(RECORDS, 'cut-orders', {'record': first}, 0)
@@ -296,8 +310,10 @@
             return old, new
 
         old, new = self.run_paused(scenario())
-        self.assertEqual((1, 2), (old.book.version('cut-orders'), new.book.version('cut-orders')))
-        self.assertEqual(2, old.book.unreadable['cut-orders'].version)
+        self.assertEqual(
+            (1, 2), (old.record_cache.version('cut-orders'), new.record_cache.version('cut-orders'))
+        )
+        self.assertEqual(2, old.record_cache.unreadable['cut-orders'].version)
 
     def test_many_large_records_cross_in_parts(self):
         async def scenario():
@@ -311,12 +327,12 @@
                 doc = build_document(f'service-{number}', requests=rules)
                 await fleet.store.put(RECORDS, doc['service'], {'record': doc}, 0)
             await one.sync._watch(0)
-            part = one.sync.take(RecordsRequest(0, 0))
+            part = one.sync.handle_frame(RecordsRequest(0, 0))
             await two.sync._pull(one.member)
-            return len(part.entries), part.has_more, two.book.complete_revision
+            return len(part.entries), part.has_more, two.record_cache.complete_revision
 
         count, more, revision = self.run_paused(scenario())
-        self.assertLess(count * 15_000, 2 * CHUNK_BYTES)
+        self.assertLess(count * 15_000, 2 * MAX_CHUNK_BYTES)
         self.assertEqual((True, 20), (more, revision))
 
 
@@ -325,7 +341,7 @@
         # Two whole nodes; one of them never reaches the platform. It gets the first record by
         # asking its peer, and a later one by the peer's push.
         async def scenario():
-            near, far = FakeStore(apart={ROSTERS}), FakeStore()
+            near, far = FakeStore(separate_kinds={ROSTERS}), FakeStore()
             far.down = True
             one = build_node('bangor-1', 'bangor-hall', 10, near)
             two = build_node('menai-1', 'menai-hall', 20, far)
@@ -335,10 +351,10 @@
             one.view.merge(two.local_member())
             two.view.merge(one.local_member())
             await asyncio.sleep(3)
-            first = two.book.version('cut-orders')
+            first = two.record_cache.version('cut-orders')
             await near.put(RECORDS, 'cut-orders', {'record': build_document()}, 1)
             await asyncio.sleep(0.1)
-            second = two.book.version('cut-orders')
+            second = two.record_cache.version('cut-orders')
             await two.stop()
             await one.stop()
             return first, second
@@ -389,8 +405,8 @@
                     other.view.merge(node.member._replace(state=State.LEFT))
                 await asyncio.sleep(1 / len(old))
             await asyncio.sleep(10)
-            versions = {n.book.version('cut-orders') for n in fresh}
-            return versions, fleet.busiest_second(began)
+            versions = {n.record_cache.version('cut-orders') for n in fresh}
+            return versions, fleet.max_calls_in_one_second(began)
 
         versions, busiest = self.run_paused(scenario())
         self.assertEqual({1}, versions)
@@ -410,9 +426,9 @@
             fleet.store.down = False
             version = await write(fleet, 2.0)
             nodes = list(fleet.nodes.values())
-            taken = await fleet.seconds_until('cut-orders', version, nodes)
+            taken = await fleet.wait_for_version('cut-orders', version, nodes)
             await asyncio.sleep(20)
-            return taken, fleet.busiest_second(began)
+            return taken, fleet.max_calls_in_one_second(began)
 
         for members in (10, 40):
             taken, busiest = self.run_paused(scenario(members))
--- a/tests/utils.py
+++ b/tests/utils.py
@@ -1,18 +1,15 @@
 """Runs the command-line tool in-process, and a node for it to talk to."""
-
 import asyncio
+import msgspec
 import threading
 import time
-from typing import Any, NamedTuple
-
-import msgspec
-
 from dunlinsaddle.cli.core import program
 from dunlinsaddle.managed_node import ListenAddresses
 from dunlinsaddle.membership.roster import ROSTERS
 from dunlinsaddle.node import Node
 from tests.builders import OPERATOR_TOKEN, build_environment, build_logger, build_settings
 from tests.fakes.store import FakeStore
+from typing import Any, NamedTuple
 
 
 class CliResult(NamedTuple):
@@ -39,7 +36,7 @@
     """A node on a loop in a thread of its own, over a store in memory; a context manager."""
 
     def __init__(self) -> None:
-        self.store = FakeStore(apart={ROSTERS})
+        self.store = FakeStore(separate_kinds={ROSTERS})
         self.node: Node
         self.addresses: ListenAddresses
         self.loop = asyncio.new_event_loop()
@@ -68,7 +65,7 @@
     def wait_for_record(self, service: str) -> None:
         """Wait until a record is in force at the node."""
         deadline = time.monotonic() + 10
-        while self.node.book.find(service) is None:
+        while self.node.record_cache.find(service) is None:
             if time.monotonic() > deadline:
                 raise AssertionError(f'{service} is not in force')
             time.sleep(0.02)
