--- a/dunlinsaddle/cli/argtypes.py
+++ b/dunlinsaddle/cli/argtypes.py
@@ -1,17 +1,14 @@
 """Arguments of commands, read into their types."""
-
-from datetime import UTC, datetime
-from typing import Any
-
 import msgspec
-
+from datetime import UTC, datetime
 from dunlinsaddle.cli.exceptions import CommandError
 from dunlinsaddle.environment import Environment
 from dunlinsaddle.exit_status import ExitStatus
-from dunlinsaddle.settings import SECRET_FORMAT, Address, parse_address, parse_secret
+from dunlinsaddle.settings import Address, SECRET_FORMAT, parse_address, parse_secret
+from typing import Any
 
 
-def address_argument(name: str, text: str) -> Address:
+def parse_address(name: str, text: str) -> Address:
     """Read an address, or end the command with what is allowed."""
     try:
         return parse_address(text)
@@ -21,7 +18,7 @@
         ) from None
 
 
-def token_argument(name: str, text: str) -> str:
+def parse_token(name: str, text: str) -> str:
     """Read a token, or end the command; a wrong one is not shown."""
     try:
         return parse_secret(text)
@@ -31,7 +28,7 @@
         ) from None
 
 
-def document_argument(path: str, env: Environment) -> Any:
+def read_document(path: str, env: Environment) -> Any:
     """Read a JSON document from a file, or from the standard input for ``-``."""
     try:
         if path == '-':
@@ -49,7 +46,7 @@
         raise CommandError(ExitStatus.INVALID_RECORD, f'{path}: not JSON in UTF-8') from None
 
 
-def service_of(doc: Any, path: str) -> str:
+def document_service(doc: Any, path: str) -> str:
     """Give the service that a document describes."""
     service = doc.get('service') if isinstance(doc, dict) else None
     if not isinstance(service, str) or not service:
@@ -57,7 +54,7 @@
     return service
 
 
-def moment_argument(name: str, text: str, now: float) -> float:
+def parse_timestamp(name: str, text: str, now: float) -> float:
     """Read a moment in seconds since 1970: a time ago, or a date and time.
 
     >>> moment_argument('since', '2h', 10_000.0)
--- a/dunlinsaddle/cli/client.py
+++ b/dunlinsaddle/cli/client.py
@@ -1,20 +1,17 @@
 """Requests of the command-line tool to a node's operators' face."""
-
 import asyncio
-from typing import Any, NamedTuple
-from urllib.parse import quote
-
 import msgspec
-
 from dunlinsaddle.admin import LISTENER_HEADER
 from dunlinsaddle.calls.client import HttpClient
 from dunlinsaddle.calls.connection import Answered
 from dunlinsaddle.calls.http import HttpRequest, HttpResponse
 from dunlinsaddle.calls.messages import Headers
-from dunlinsaddle.cli.constants import REQUEST_TIMEOUT
+from dunlinsaddle.cli.constants import REQUEST_TIMEOUT_SECONDS
 from dunlinsaddle.cli.exceptions import CommandError
 from dunlinsaddle.exit_status import ExitStatus
 from dunlinsaddle.settings import Address
+from typing import Any, NamedTuple
+from urllib.parse import quote
 
 _STATUSES = {
     401: ExitStatus.DENIED,
@@ -57,7 +54,7 @@
 
     async def _exchange(self, req: HttpRequest) -> HttpResponse:
         client = HttpClient()
-        exchange = await client.send(self.address, req, REQUEST_TIMEOUT)
+        exchange = await client.send(self.address, req, REQUEST_TIMEOUT_SECONDS)
         client.close()
         if isinstance(exchange, Answered):
             return exchange.response
--- a/dunlinsaddle/cli/commands/apply.py
+++ b/dunlinsaddle/cli/commands/apply.py
@@ -1,14 +1,11 @@
 """``apply``: create or change records."""
-
-from typing import Any, NamedTuple
-
 from cleo.helpers import argument, option
-
-from dunlinsaddle.cli.argtypes import document_argument, service_of
+from dunlinsaddle.cli.argtypes import document_service, read_document
 from dunlinsaddle.cli.client import NodeClient
-from dunlinsaddle.cli.commands.change import CHANGE_OPTIONS, ChangeCommand, stored_version
+from dunlinsaddle.cli.commands.change import CHANGE_OPTIONS, ChangeCommand, fetch_version
 from dunlinsaddle.cli.exceptions import CommandError
 from dunlinsaddle.exit_status import ExitStatus
+from typing import Any, NamedTuple
 
 
 class _Planned(NamedTuple):
@@ -28,30 +25,31 @@
         option('downgrade', None, 'Write an older schema over a newer one, losing its fields.'),
     ]
 
-    def work(self) -> ExitStatus:
+    def run_command(self) -> ExitStatus:
         """Check all files, then apply each in turn; the first failure ends the command."""
-        docs = [document_argument(path, self.env) for path in self.argument('files')]
+        docs = [read_document(path, self.env) for path in self.argument('files')]
         services = [
-            service_of(doc, path) for doc, path in zip(docs, self.argument('files'), strict=True)
+            document_service(doc, path)
+            for doc, path in zip(docs, self.argument('files'), strict=True)
         ]
         if len(docs) > 1 and (self.option('expected') or self.option('id')):
             raise CommandError(ExitStatus.USAGE, 'expected and id go with one file, give just one')
-        node = self.node()
+        node = self.node_client()
         planned = [self._plan(node, s, d) for s, d in zip(services, docs, strict=True)]
         # All are checked before one is written: a mistake in the last leaves nothing half done.
         checks = [node.post(f'/v1/records/{p.service}/check', p.body) for p in planned]
         if self.option('dry-run'):
-            self.show(checks, [_preview(check) for check in checks])
+            self.write_result(checks, [_preview(check) for check in checks])
             return ExitStatus.OK
-        done = [self.send(node, 'PUT', p.service, p.body) for p in planned]
-        self.show(done, [f'{d["service"]} is at version {d["version"]}' for d in done])
+        done = [self.send_change(node, 'PUT', p.service, p.body) for p in planned]
+        self.write_result(done, [f'{d["service"]} is at version {d["version"]}' for d in done])
         return ExitStatus.OK
 
     def _plan(self, node: NodeClient, service: str, doc: Any) -> _Planned:
-        expected = self.expected()
+        expected = self.expected_version()
         if expected is None:
-            expected = stored_version(node, service)
-        body = {**self.change_body(doc, expected), 'downgrade': self.option('downgrade')}
+            expected = fetch_version(node, service)
+        body = {**self.build_change(doc, expected), 'downgrade': self.option('downgrade')}
         return _Planned(service, body)
 
 
--- a/dunlinsaddle/cli/commands/change.py
+++ b/dunlinsaddle/cli/commands/change.py
@@ -1,15 +1,12 @@
 """What the commands that change records share: who, why, and a send that may be repeated."""
-
-from typing import Any
-
 import uuid6
 from cleo.helpers import option
-
 from dunlinsaddle.cli.client import NodeClient
-from dunlinsaddle.cli.constants import SEND_TRIES, USER_VARIABLE
+from dunlinsaddle.cli.constants import MAX_SEND_ATTEMPTS, USER_VARIABLE
 from dunlinsaddle.cli.definition import NODE_OPTIONS, NodeCommand
 from dunlinsaddle.cli.exceptions import CommandError
 from dunlinsaddle.exit_status import ExitStatus
+from typing import Any
 
 CHANGE_OPTIONS = [
     *NODE_OPTIONS,
@@ -23,7 +20,7 @@
 class ChangeCommand(NodeCommand):
     """A command that changes records."""
 
-    def change_body(self, doc: Any, expected: int) -> dict[str, Any]:
+    def build_change(self, doc: Any, expected: int) -> dict[str, Any]:
         """Give the body of one change, with an id of its own."""
         return {
             'id': self.option('id') or str(uuid6.uuid7()),
@@ -33,7 +30,7 @@
             'why': self.option('why'),
         }
 
-    def expected(self) -> int | None:
+    def expected_version(self) -> int | None:
         """Give the version that was asked for, None to take what stands there."""
         text = self.option('expected')
         if text is None:
@@ -44,9 +41,9 @@
             )
         return int(text)
 
-    def send(self, node: NodeClient, method: str, service: str, body: dict[str, Any]) -> Any:
+    def send_change(self, node: NodeClient, method: str, service: str, body: dict[str, Any]) -> Any:
         """Send a change until there is an answer; the id keeps it from being made twice."""
-        for left in reversed(range(SEND_TRIES)):
+        for left in reversed(range(MAX_SEND_ATTEMPTS)):
             try:
                 return node.send(method, f'/v1/records/{service}', body)
             except CommandError as exc:
@@ -60,7 +57,7 @@
         raise AssertionError('unreachable')
 
 
-def stored_version(node: NodeClient, service: str) -> int:
+def fetch_version(node: NodeClient, service: str) -> int:
     """Give the version that stands there now, 0 for none."""
     try:
         return int(node.get(f'/v1/records/{service}')['version'])
--- a/dunlinsaddle/cli/commands/delete.py
+++ b/dunlinsaddle/cli/commands/delete.py
@@ -1,8 +1,6 @@
 """``delete``: take a record away; its audit trail stays."""
-
 from cleo.helpers import argument
-
-from dunlinsaddle.cli.commands.change import CHANGE_OPTIONS, ChangeCommand, stored_version
+from dunlinsaddle.cli.commands.change import CHANGE_OPTIONS, ChangeCommand, fetch_version
 from dunlinsaddle.exit_status import ExitStatus
 
 
@@ -14,13 +12,13 @@
     arguments = [argument('service', 'Name of the service.')]
     options = CHANGE_OPTIONS
 
-    def work(self) -> ExitStatus:
+    def run_command(self) -> ExitStatus:
         """Delete the record."""
-        node = self.node()
+        node = self.node_client()
         service = self.argument('service')
-        expected = self.expected()
+        expected = self.expected_version()
         if expected is None:
-            expected = stored_version(node, service)
-        done = self.send(node, 'DELETE', service, self.change_body(None, expected))
-        self.show(done, [f'{service} is deleted at version {done["version"]}'])
+            expected = fetch_version(node, service)
+        done = self.send_change(node, 'DELETE', service, self.build_change(None, expected))
+        self.write_result(done, [f'{service} is deleted at version {done["version"]}'])
         return ExitStatus.OK
--- a/dunlinsaddle/cli/constants.py
+++ b/dunlinsaddle/cli/constants.py
@@ -4,5 +4,5 @@
 TOKEN_VARIABLE = 'DUNLINSADDLE_OPERATOR_TOKEN'
 USER_VARIABLE = 'USER'
 DEFAULT_NODE = '127.0.0.1:7404'
-REQUEST_TIMEOUT = 35.0  #: longer than a node waits for the platform in all
-SEND_TRIES = 2
+REQUEST_TIMEOUT_SECONDS = 35.0  #: longer than a node waits for the platform in all
+MAX_SEND_ATTEMPTS = 2
--- a/dunlinsaddle/cli/core.py
+++ b/dunlinsaddle/cli/core.py
@@ -1,25 +1,16 @@
 """The command-line tool: ``main`` prepares, ``program`` works and can be called by tests."""
-
 import sys
-
 from cleo.application import Application
 from cleo.exceptions import CleoError
 from cleo.io.inputs.argv_input import ArgvInput
 from cleo.io.outputs.stream_output import StreamOutput
-
 from dunlinsaddle import __version__
 from dunlinsaddle.cli.commands.apply import ApplyCommand
 from dunlinsaddle.cli.commands.delete import DeleteCommand
-from dunlinsaddle.cli.definition import DEBUG_FLAG, BaseCommand, table
+from dunlinsaddle.cli.definition import BaseCommand, DEBUG_FLAG, format_table
 from dunlinsaddle.cli.queries.audit import AuditCommand, HistoryCommand
 from dunlinsaddle.cli.queries.failures import FailuresCommand
-from dunlinsaddle.cli.queries.nodes import (
-    ExplainCommand,
-    MetricsCommand,
-    RolloutCommand,
-    StatusCommand,
-    TargetsCommand,
-)
+from dunlinsaddle.cli.queries.nodes import ExplainCommand, MetricsCommand, RolloutCommand, StatusCommand, TargetsCommand
 from dunlinsaddle.cli.queries.records import DiffCommand, GetCommand, ListCommand
 from dunlinsaddle.cli.queries.replay import BenchCommand, ReplayCommand
 from dunlinsaddle.cli.queries.trace import TraceCommand
@@ -46,10 +37,10 @@
 )
 
 
-def overview(name: str) -> str:
+def format_overview(name: str) -> str:
     """Give the help of the whole tool: what each command is for."""
     commands = sorted([command.name or '', command.description] for command in COMMANDS)
-    lines = [f'usage: {name} COMMAND [options]', '', *table(commands), '']
+    lines = [f'usage: {name} COMMAND [options]', '', *format_table(commands), '']
     lines += [f'Options and arguments of a command: {name} COMMAND --help.']
     return ''.join(f'{line}\n' for line in lines)
 
@@ -58,7 +49,7 @@
     """Run one command; gives the exit status."""
     # The library would show the help of its own `list` here, whose name is ours.
     if argv in ([], ['help'], ['-h'], ['--help']):
-        env.stdout.write(overview(env.program_name))
+        env.stdout.write(format_overview(env.program_name))
         return ExitStatus.OK if argv else ExitStatus.USAGE
     app = Application('dunlinsaddle', __version__)
     app.auto_exits(False)
--- a/dunlinsaddle/cli/definition.py
+++ b/dunlinsaddle/cli/definition.py
@@ -1,20 +1,17 @@
 """What all commands of the tool share: options, output, and errors in one line."""
-
-import traceback
-from datetime import UTC, datetime
-from typing import Any
-
 import msgspec
+import traceback
 from cleo.commands.command import Command
 from cleo.helpers import option
 from cleo.io.inputs.option import Option
-
-from dunlinsaddle.cli.argtypes import address_argument, token_argument
+from datetime import UTC, datetime
+from dunlinsaddle.cli.argtypes import parse_address, parse_token
 from dunlinsaddle.cli.client import NodeClient
 from dunlinsaddle.cli.constants import DEFAULT_NODE, NODE_VARIABLE, TOKEN_VARIABLE
 from dunlinsaddle.cli.exceptions import CommandError
 from dunlinsaddle.environment import Environment
 from dunlinsaddle.exit_status import ExitStatus
+from typing import Any
 
 DEBUG_FLAG = '--debug'
 JSON_OPTION = option('json', None, 'Write one JSON document.')
@@ -36,18 +33,18 @@
     def handle(self) -> int:
         """Do the work; a failure becomes one line and its exit status."""
         try:
-            return self.work()
+            return self.run_command()
         except CommandError as exc:
             if self.definition.has_option('debug') and self.option('debug'):
                 self.env.stderr.write(traceback.format_exc())
             self.env.print_error(str(exc))
             return exc.status
 
-    def work(self) -> ExitStatus:
+    def run_command(self) -> ExitStatus:
         """Do what the command is for."""
         raise NotImplementedError
 
-    def show(self, value: Any, lines: list[str]) -> None:
+    def write_result(self, value: Any, lines: list[str]) -> None:
         """Write a result: as JSON if asked for, else as lines."""
         if self.option('json'):
             lines = [msgspec.json.format(msgspec.json.encode(value)).decode()]
@@ -59,7 +56,7 @@
 
     options = NODE_OPTIONS
 
-    def node(self) -> NodeClient:
+    def node_client(self) -> NodeClient:
         """Give the client for the node that flags and variables name."""
         environ = self.env.environ
         text = self.option('node') or environ.get(NODE_VARIABLE) or DEFAULT_NODE
@@ -68,10 +65,10 @@
             raise CommandError(
                 ExitStatus.USAGE, f'no operator token: give --token or {TOKEN_VARIABLE}'
             )
-        return NodeClient(address_argument('node', text), token_argument('token', token))
+        return NodeClient(parse_address('node', text), parse_token('token', token))
 
 
-def flat(value: dict[str, Any], prefix: str = '') -> list[list[str]]:
+def flatten(value: dict[str, Any], prefix: str = '') -> list[list[str]]:
     """Give a nested object as rows of a dotted name and a value.
 
     >>> flat({'a': 1, 'b': {'c': 2}, 'd': {}})
@@ -81,7 +78,7 @@
     for key, item in value.items():
         name = f'{prefix}{key}'
         if isinstance(item, dict) and item:
-            rows += flat(item, f'{name}.')
+            rows += flatten(item, f'{name}.')
         elif isinstance(item, list):
             rows.append([name, ', '.join(map(str, item)) or '-'])
         else:
@@ -89,7 +86,7 @@
     return rows
 
 
-def moment(seconds: float) -> str:
+def format_timestamp(seconds: float) -> str:
     """Give a moment in UTC.
 
     >>> moment(0)
@@ -98,7 +95,7 @@
     return datetime.fromtimestamp(seconds, UTC).strftime('%Y-%m-%dT%H:%M:%SZ')
 
 
-def table(rows: list[list[str]]) -> list[str]:
+def format_table(rows: list[list[str]]) -> list[str]:
     """Lay rows out in columns.
 
     >>> table([['a', 'b'], ['ccc', 'd']])
--- a/dunlinsaddle/cli/queries/audit.py
+++ b/dunlinsaddle/cli/queries/audit.py
@@ -1,12 +1,9 @@
 """``history`` and ``audit``: who changed what, when and why."""
-
-from typing import Any
-
 from cleo.helpers import argument, option
-
-from dunlinsaddle.cli.argtypes import moment_argument
-from dunlinsaddle.cli.definition import NODE_OPTIONS, NodeCommand, moment, table
+from dunlinsaddle.cli.argtypes import parse_timestamp
+from dunlinsaddle.cli.definition import NODE_OPTIONS, NodeCommand, format_table, format_timestamp
 from dunlinsaddle.exit_status import ExitStatus
+from typing import Any
 
 HEADINGS = ['WHEN', 'SERVICE', 'WHO', 'FROM', 'TO', 'CHANGED', 'WHY']
 
@@ -18,10 +15,10 @@
     description = 'Show who changed a record, when and why, e.g. history cut-orders.'
     arguments = [argument('service', 'Name of the service.')]
 
-    def work(self) -> ExitStatus:
+    def run_command(self) -> ExitStatus:
         """Show one line a change, the newest last."""
-        lines = self.node().get(f'/v1/records/{self.argument("service")}/history')
-        self.show(lines, table([HEADINGS, *map(_row, lines)]))
+        lines = self.node_client().get(f'/v1/records/{self.argument("service")}/history')
+        self.write_result(lines, format_table([HEADINGS, *map(_row, lines)]))
         return ExitStatus.OK
 
 
@@ -41,11 +38,11 @@
         ),
     ]
 
-    def work(self) -> ExitStatus:
+    def run_command(self) -> ExitStatus:
         """Show one line a change, the newest last."""
-        since = moment_argument('since', self.option('since'), self.env.wall_clock())
-        lines = self.node().get(f'/v1/audit?since={since!r}')
-        self.show(lines, table([HEADINGS, *map(_row, lines)]))
+        since = parse_timestamp('since', self.option('since'), self.env.wall_clock())
+        lines = self.node_client().get(f'/v1/audit?since={since!r}')
+        self.write_result(lines, format_table([HEADINGS, *map(_row, lines)]))
         return ExitStatus.OK
 
 
@@ -53,7 +50,7 @@
     changed = 'deleted' if line['deleted'] else ', '.join(line['changed']) or 'nothing'
     versions = [str(line['before']), str(line['after'])]
     return [
-        moment(line['when']),
+        format_timestamp(line['when']),
         line['service'],
         line['who'],
         *versions,
--- a/dunlinsaddle/cli/queries/nodes.py
+++ b/dunlinsaddle/cli/queries/nodes.py
@@ -1,8 +1,6 @@
 """``status``, ``rollout``, ``targets``, ``metrics`` and ``explain``: what a node knows."""
-
 from cleo.helpers import argument
-
-from dunlinsaddle.cli.definition import NodeCommand, flat, table
+from dunlinsaddle.cli.definition import NodeCommand, flatten, format_table
 from dunlinsaddle.exit_status import ExitStatus
 
 
@@ -12,10 +10,10 @@
     name = 'status'
     description = 'Show the state of a node, e.g. status --node 127.0.0.1:7404.'
 
-    def work(self) -> ExitStatus:
+    def run_command(self) -> ExitStatus:
         """Show each figure on a line."""
-        status = self.node().get('/v1/status')
-        self.show(status, table(flat(status)))
+        status = self.node_client().get('/v1/status')
+        self.write_result(status, format_table(flatten(status)))
         return ExitStatus.OK
 
 
@@ -25,14 +23,14 @@
     name = 'rollout'
     description = 'Ask members of each failure domain which changes are in force there.'
 
-    def work(self) -> ExitStatus:
+    def run_command(self) -> ExitStatus:
         """Show one failure domain a line."""
-        rows = self.node().get('/v1/rollout')
+        rows = self.node_client().get('/v1/rollout')
         lines = [
             [r['domain'], f'{r["answered"]} of {r["asked"]}', str(r['revision'] or '-')]
             for r in rows
         ]
-        self.show(rows, table([['DOMAIN', 'ANSWERED', 'IN FORCE UP TO'], *lines]))
+        self.write_result(rows, format_table([['DOMAIN', 'ANSWERED', 'IN FORCE UP TO'], *lines]))
         return ExitStatus.OK
 
 
@@ -42,11 +40,13 @@
     name = 'targets'
     description = 'List the targets that a node knows of, e.g. targets --json.'
 
-    def work(self) -> ExitStatus:
+    def run_command(self) -> ExitStatus:
         """Show one target a line."""
-        targets = self.node().get('/v1/targets')
+        targets = self.node_client().get('/v1/targets')
         rows = [[t['service'] or '-', t['instance'], t['domain'], t['state']] for t in targets]
-        self.show(targets, table([['SERVICE', 'INSTANCE', 'DOMAIN', 'STATE'], *rows]))
+        self.write_result(
+            targets, format_table([['SERVICE', 'INSTANCE', 'DOMAIN', 'STATE'], *rows])
+        )
         return ExitStatus.OK
 
 
@@ -56,15 +56,15 @@
     name = 'metrics'
     description = 'Show the metrics of a node, e.g. metrics --json.'
 
-    def work(self) -> ExitStatus:
+    def run_command(self) -> ExitStatus:
         """Show one value a line, with its attributes."""
-        metrics = self.node().get('/v1/metrics')
+        metrics = self.node_client().get('/v1/metrics')
         rows = [
             [name, str(point.pop('value')), ' '.join(f'{k}={v}' for k, v in point.items())]
             for name, points in metrics.items()
             for point in map(dict, points)
         ]
-        self.show(metrics, table(rows))
+        self.write_result(metrics, format_table(rows))
         return ExitStatus.OK
 
 
@@ -79,9 +79,9 @@
         argument('path', "Path below the service's prefix."),
     ]
 
-    def work(self) -> ExitStatus:
+    def run_command(self) -> ExitStatus:
         """Show each part of the answer on a line."""
         body = {name: self.argument(name) for name in ('service', 'method', 'path')}
-        answer = self.node().post('/v1/explain', body)
-        self.show(answer, table(flat(answer)))
+        answer = self.node_client().post('/v1/explain', body)
+        self.write_result(answer, format_table(flatten(answer)))
         return ExitStatus.OK
--- a/dunlinsaddle/cli/queries/records.py
+++ b/dunlinsaddle/cli/queries/records.py
@@ -1,10 +1,8 @@
 """``get``, ``list`` and ``diff``: what the records say."""
-
 import msgspec
 from cleo.helpers import argument
-
-from dunlinsaddle.cli.argtypes import document_argument, service_of
-from dunlinsaddle.cli.definition import NodeCommand, moment, table
+from dunlinsaddle.cli.argtypes import document_service, read_document
+from dunlinsaddle.cli.definition import NodeCommand, format_table, format_timestamp
 from dunlinsaddle.exit_status import ExitStatus
 
 
@@ -15,11 +13,11 @@
     description = 'Show the record of a service, e.g. get cut-orders.'
     arguments = [argument('service', 'Name of the service.')]
 
-    def work(self) -> ExitStatus:
+    def run_command(self) -> ExitStatus:
         """Show the record as it is stored, or as in force here while the platform is out."""
-        answer = self.node().get(f'/v1/records/{self.argument("service")}')
+        answer = self.node_client().get(f'/v1/records/{self.argument("service")}')
         text = msgspec.json.format(msgspec.json.encode(answer['record'])).decode()
-        self.show(answer, [text])
+        self.write_result(answer, [text])
         return ExitStatus.OK
 
 
@@ -29,14 +27,22 @@
     name = 'list'
     description = 'List the services that have a record in force at the node.'
 
-    def work(self) -> ExitStatus:
+    def run_command(self) -> ExitStatus:
         """Show each service and the version in force."""
-        records = self.node().get('/v1/records')
+        records = self.node_client().get('/v1/records')
         rows = [
-            [r['service'], str(r['version']), str(r['schema']), r['mode'], moment(r['since'])]
+            [
+                r['service'],
+                str(r['version']),
+                str(r['schema']),
+                r['mode'],
+                format_timestamp(r['since']),
+            ]
             for r in records
         ]
-        self.show(records, table([['SERVICE', 'VERSION', 'SCHEMA', 'MODE', 'SINCE'], *rows]))
+        self.write_result(
+            records, format_table([['SERVICE', 'VERSION', 'SCHEMA', 'MODE', 'SINCE'], *rows])
+        )
         return ExitStatus.OK
 
 
@@ -47,12 +53,12 @@
     description = 'Show which fields of a file differ from what is stored, e.g. diff a.json.'
     arguments = [argument('file', 'A record file, - for the standard input.')]
 
-    def work(self) -> ExitStatus:
+    def run_command(self) -> ExitStatus:
         """Show the names of the fields that differ."""
         path = self.argument('file')
-        doc = document_argument(path, self.env)
-        service = service_of(doc, path)
-        answer = self.node().post(f'/v1/records/{service}/diff', doc)
+        doc = read_document(path, self.env)
+        service = document_service(doc, path)
+        answer = self.node_client().post(f'/v1/records/{service}/diff', doc)
         lines = answer['changed'] or [f'the same as version {answer["version"]}']
-        self.show(answer, lines)
+        self.write_result(answer, lines)
         return ExitStatus.OK
--- a/dunlinsaddle/cli/queries/replay.py
+++ b/dunlinsaddle/cli/queries/replay.py
@@ -1,19 +1,16 @@
 """``replay`` and ``bench``: recorded traces against their stated outcomes."""
-
-from pathlib import Path
-from typing import Any
-
 from cleo.helpers import argument, option
-
-from dunlinsaddle.cli.definition import JSON_OPTION, BaseCommand, table
+from dunlinsaddle.cli.definition import BaseCommand, JSON_OPTION, format_table
 from dunlinsaddle.cli.exceptions import CommandError
 from dunlinsaddle.exit_status import ExitStatus
 from dunlinsaddle.replay.bench import write_bench
-from dunlinsaddle.replay.report import Check, Figures, checks, figure_names, figures, shown
+from dunlinsaddle.replay.report import Figures, OutcomeCheck, check_outcomes, compute_figures, format_figure, ordered_figure_names
 from dunlinsaddle.replay.run import POLICIES, replay
 from dunlinsaddle.replay.trace import Trace, TraceError, read_trace
+from pathlib import Path
+from typing import Any
 
-TRACES = 'tests/traces'
+DEFAULT_TRACES_DIRECTORY = 'tests/traces'
 
 
 class ReplayCommand(BaseCommand):
@@ -27,17 +24,19 @@
         option('policy', None, f'One of {", ".join(POLICIES)}.', flag=False, default='current'),
     ]
 
-    def work(self) -> ExitStatus:
+    def run_command(self) -> ExitStatus:
         """Show the figures and each stated outcome; a missed one ends with its own status."""
         policy = self.option('policy')
         if policy not in POLICIES:
             allowed = ', '.join(POLICIES)
             raise CommandError(ExitStatus.USAGE, f'--policy: expected one of {allowed}')
-        trace = trace_argument(self.argument('trace'))
-        measured = figures(replay(trace, policy))
-        found = checks(trace, policy, measured)
-        self.show(_document(trace, policy, measured, found), _lines(trace, measured, found))
-        return ExitStatus.OK if all(c.met for c in found) else ExitStatus.EXPECTATION_NOT_MET
+        trace = load_trace(self.argument('trace'))
+        measured = compute_figures(replay(trace, policy))
+        checks = check_outcomes(trace, policy, measured)
+        self.write_result(
+            _document(trace, policy, measured, checks), _lines(trace, measured, checks)
+        )
+        return ExitStatus.OK if all(c.met for c in checks) else ExitStatus.EXPECTATION_NOT_MET
 
 
 class BenchCommand(BaseCommand):
@@ -46,22 +45,24 @@
     name = 'bench'
     description = 'Replay all traces, and write the figures and the plot.'
     options = [
-        option('traces', None, 'Directory of the traces.', flag=False, default=TRACES),
+        option(
+            'traces', None, 'Directory of the traces.', flag=False, default=DEFAULT_TRACES_DIRECTORY
+        ),
         option('out', None, 'Directory for BENCH.md and the plot.', flag=False, default='docs'),
     ]
 
-    def work(self) -> ExitStatus:
+    def run_command(self) -> ExitStatus:
         """Write the page; a missed outcome ends with its own status."""
         paths = sorted(Path(self.option('traces')).glob('*.jsonl'))
         if not paths:
             raise CommandError(ExitStatus.USAGE, f'{self.option("traces")}: no trace (*.jsonl)')
-        traces = [trace_argument(str(path)) for path in paths]
+        traces = [load_trace(str(path)) for path in paths]
         out = Path(self.option('out'))
         missed = write_bench(traces, out, lambda line: self.env.stdout.write(f'{line}\n'))
         return ExitStatus.EXPECTATION_NOT_MET if missed else ExitStatus.OK
 
 
-def trace_argument(path: str) -> Trace:
+def load_trace(path: str) -> Trace:
     """Read a trace, or end the command with the line that is wrong."""
     try:
         with open(path, encoding='utf-8') as file:
@@ -72,7 +73,7 @@
         raise CommandError(ExitStatus.INVALID_RECORD, f'{path}: {exc}') from None
 
 
-def _document(trace: Trace, policy: str, measured: Figures, found: list[Check]) -> Any:
+def _document(trace: Trace, policy: str, measured: Figures, checks: list[OutcomeCheck]) -> Any:
     return {
         'trace': trace.header.name,
         'policy': policy,
@@ -85,19 +86,19 @@
                 'measured': c.measured,
                 'met': c.met,
             }
-            for c in found
+            for c in checks
         ],
     }
 
 
-def _lines(trace: Trace, measured: Figures, found: list[Check]) -> list[str]:
-    rows = [[name, shown(getattr(measured, name))] for name in figure_names(trace)]
+def _lines(trace: Trace, measured: Figures, checks: list[OutcomeCheck]) -> list[str]:
+    rows = [[name, format_figure(getattr(measured, name))] for name in ordered_figure_names(trace)]
     outcomes = [
         [
             'met' if c.met else 'MISSED',
             f'{c.expect.metric} {c.expect.op} {c.expect.value:g}',
-            f'measured {shown(c.measured)}',
+            f'measured {format_figure(c.measured)}',
         ]
-        for c in found
+        for c in checks
     ]
-    return [*table(rows), *([''] if outcomes else []), *table(outcomes)]
+    return [*format_table(rows), *([''] if outcomes else []), *format_table(outcomes)]
--- a/dunlinsaddle/cli/queries/trace.py
+++ b/dunlinsaddle/cli/queries/trace.py
@@ -1,27 +1,24 @@
 """``trace``: the story of one request, from the log lines of any number of nodes."""
-
-from collections.abc import Iterable, Iterator
-from datetime import datetime, timedelta
-from typing import Any, NamedTuple
-
 import msgspec
 from cleo.helpers import argument, option
-
+from collections.abc import Iterable, Iterator
+from datetime import datetime, timedelta
 from dunlinsaddle.calls.decisions import Event
-from dunlinsaddle.cli.definition import JSON_OPTION, BaseCommand, table
+from dunlinsaddle.cli.definition import BaseCommand, JSON_OPTION, format_table
 from dunlinsaddle.cli.exceptions import CommandError
 from dunlinsaddle.exit_status import ExitStatus
+from typing import Any, NamedTuple
 
 HEADINGS = ['TIME', 'INSTANCE', 'DECISION', 'INPUTS']
 #: Fields that have a column of their own, or say nothing of the request.
 _SHOWN = frozenset({'time', 'instance', 'message', 'level', 'domain'})
 STDIN = '-'
 _UNSERVED = frozenset({Event.FAILED.value, Event.CANCELLED.value})
-CLOCKS_DIFFER = timedelta(milliseconds=50)  #: usual between machines that set theirs by NTP
+MAX_CLOCK_SKEW = timedelta(milliseconds=50)  #: usual between machines that set theirs by NTP
 CALLS_HEADING = 'Calls of targets that failed meanwhile:'
 
 
-class Story(NamedTuple):
+class RequestLog(NamedTuple):
     """The lines on one request in order of time, and how many lines could not be read.
 
     A call that a target makes for the request is known by its id, which extends the request's.
@@ -29,12 +26,12 @@
     targets give their calls ids of another kind, it may have failed of these.
     """
 
-    lines: list[dict[str, Any]]
-    calls: list[dict[str, Any]]
-    unreadable: int
+    events: list[dict[str, Any]]
+    failed_calls: list[dict[str, Any]]
+    unreadable_lines: int
 
 
-def read_story(lines: Iterable[str], request_id: str) -> Story:
+def collect_request_log(lines: Iterable[str], request_id: str) -> RequestLog:
     """Pick the lines that name a request, and the failed calls that may belong to it.
 
     A line may carry text before its JSON, as collectors put a time and a source there. Nodes'
@@ -42,13 +39,13 @@
     """
     found: list[dict[str, Any]] = []
     failed: list[dict[str, Any]] = []
-    unreadable = 0
+    unreadable_lines = 0
     for line in lines:
         if not line.strip():
             continue
         event = _event(line)
         if event is None:
-            unreadable += 1
+            unreadable_lines += 1
         elif _belongs(str(event.get('request_id', '')), request_id):
             found.append(event)
         elif event.get('inner') and event.get('message') in _UNSERVED:
@@ -56,13 +53,13 @@
     found.sort(key=_when)
     if any(_failed_call_of(event, request_id) for event in found):
         # What it failed of is in the story: calls that others were made for would hide it.
-        return Story(found, [], unreadable)
+        return RequestLog(found, [], unreadable_lines)
     spans = [span for event in found for span in _spans(event)]
     calls = [event for event in failed if any(span.holds(event) for span in spans)]
-    return Story(found, sorted(calls, key=_when), unreadable)
+    return RequestLog(found, sorted(calls, key=_when), unreadable_lines)
 
 
-def read_events(lines: Iterable[str]) -> Iterator[dict[str, Any]]:
+def parse_events(lines: Iterable[str]) -> Iterator[dict[str, Any]]:
     """Give what the lines say, without those that cannot be read."""
     for line in lines:
         event = _event(line)
@@ -70,7 +67,7 @@
             yield event
 
 
-def log_files(paths: list[str], stdin: Iterable[str]) -> Iterator[str]:
+def read_log_files(paths: list[str], stdin: Iterable[str]) -> Iterator[str]:
     """Give the lines of files one after the other. Raises CommandError where one cannot be read."""
     for path in paths or [STDIN]:
         if path == STDIN:
@@ -129,7 +126,7 @@
         return
     for attempt in reversed(attempts):
         start = end - timedelta(seconds=float(attempt['seconds']))
-        yield _Span(str(attempt['instance']), start - CLOCKS_DIFFER, end + CLOCKS_DIFFER)
+        yield _Span(str(attempt['instance']), start - MAX_CLOCK_SKEW, end + MAX_CLOCK_SKEW)
         end = start
 
 
@@ -172,17 +169,25 @@
         option('debug', None, 'Show where a failure comes from.'),
     ]
 
-    def work(self) -> ExitStatus:
+    def run_command(self) -> ExitStatus:
         """Show one line a decision, the earliest first."""
         request_id = self.argument('request-id')
-        story = read_story(log_files(self.argument('files'), self.env.stdin), request_id)
-        if story.unreadable:
-            self.env.stderr.write(f'{story.unreadable} lines could not be read and were skipped\n')
-        if not story.lines:
+        request_log = collect_request_log(
+            read_log_files(self.argument('files'), self.env.stdin), request_id
+        )
+        if request_log.unreadable_lines:
+            self.env.stderr.write(
+                f'{request_log.unreadable_lines} lines could not be read and were skipped\n'
+            )
+        if not request_log.events:
             what = f'no line names the request {request_id}; give the logs of all nodes'
             raise CommandError(ExitStatus.NOT_FOUND, what)
-        shown = table([HEADINGS, *map(_row, story.lines)])
-        if story.calls:
-            shown += ['', CALLS_HEADING, *table([HEADINGS, *map(_row, story.calls)])]
-        self.show({'lines': story.lines, 'calls': story.calls}, shown)
+        shown = format_table([HEADINGS, *map(_row, request_log.events)])
+        if request_log.failed_calls:
+            shown += [
+                '',
+                CALLS_HEADING,
+                *format_table([HEADINGS, *map(_row, request_log.failed_calls)]),
+            ]
+        self.write_result({'lines': request_log.events, 'calls': request_log.failed_calls}, shown)
         return ExitStatus.OK
--- a/dunlinsaddle/replay/attempt.py
+++ b/dunlinsaddle/replay/attempt.py
@@ -12,7 +12,7 @@
 
     __slots__ = (
         'caller',
-        'calls',
+        'calls_started',
         'deadline',
         'deaths',
         'failed',
@@ -20,7 +20,7 @@
         'kills',
         'priority',
         'resent',
-        'wasted',
+        'wasted_calls',
     )
 
     def __init__(
@@ -38,24 +38,24 @@
         self.fingerprint = fingerprint
         self.kills = kills
         self.deaths = 0
-        self.calls = 0
-        self.wasted = 0
+        self.calls_started = 0
+        self.wasted_calls = 0
         self.resent = 0
         self.failed = False
 
-    def spend(self) -> None:
+    def record_call_started(self) -> None:
         """Count a call that a target began to run."""
-        self.calls += 1
+        self.calls_started += 1
         if self.failed:
-            self.wasted += 1
+            self.wasted_calls += 1
 
-    def end(self, *, whole: bool) -> None:
+    def record_end(self, *, succeeded: bool) -> None:
         """Note how the request ended; if it failed, all its calls were wasted."""
-        self.failed = not whole
-        self.wasted = 0 if whole else self.calls
+        self.failed = not succeeded
+        self.wasted_calls = 0 if succeeded else self.calls_started
 
 
-class Answer(NamedTuple):
+class Response(NamedTuple):
     """What comes back to a hop. ``failure`` is None for a whole answer."""
 
     failure: Failure | None = None
@@ -72,16 +72,16 @@
         return self.failure.outcome if self.failure else Outcome.DONE
 
 
-def refused(kind: ErrorKind, load: Load | None = None) -> Answer:
+def failure_response(kind: ErrorKind, load: Load | None = None) -> Response:
     """Give the answer for a failure."""
-    return Answer(Failure(kind, retry_after=1.0), load)
+    return Response(Failure(kind, retry_after=1.0), load)
 
 
-class Parent(NamedTuple):
+class CallOrigin(NamedTuple):
     """The rule that a target works on while it makes a call, and the hop of that call."""
 
     rule: str = ''
     hop: int = 0
 
 
-ENTRY = Parent()
+EXTERNAL_ORIGIN = CallOrigin()
--- a/dunlinsaddle/replay/bench.py
+++ b/dunlinsaddle/replay/bench.py
@@ -8,17 +8,32 @@
 from msgspec.structs import replace
 
 from dunlinsaddle.replay.plot import Curve, plot
-from dunlinsaddle.replay.report import Figures, checks, figure_names, figures, shown
+from dunlinsaddle.replay.report import (
+    Figures,
+    check_outcomes,
+    compute_figures,
+    format_figure,
+    ordered_figure_names,
+)
 from dunlinsaddle.replay.run import replay
 from dunlinsaddle.replay.trace import Trace
 
-COMPARED = ('naive', 'current')
-WORKERS = 4
-BIASES = (0.0, 0.25, 0.5, 0.75, 1.0)
-PAGE = 'BENCH.md'
-PLOT = 'bench-recovery-bias.svg'
-COLUMNS = ('goodput', 'recovery', 'critical', 'wasted', 'fairness', 'resends', 'deaths', 'median')
-HEAD = """# Bench
+COMPARED_POLICIES = ('naive', 'current')
+WORKER_PROCESSES = 4
+RECOVERY_BIASES = (0.0, 0.25, 0.5, 0.75, 1.0)
+PAGE_FILE = 'BENCH.md'
+PLOT_FILE = 'bench-recovery-bias.svg'
+FIGURE_COLUMNS = (
+    'goodput',
+    'recovery',
+    'critical',
+    'wasted',
+    'fairness',
+    'resends',
+    'deaths',
+    'median',
+)
+PAGE_HEADER = """# Bench
 
 Written by `make bench`: each trace of `tests/traces` under three policies. *naive* has a fixed
 limit (the true slots), first come first served, and three retries per hop; *local* is the
@@ -28,7 +43,7 @@
 """
 
 
-class Row(NamedTuple):
+class BenchResult(NamedTuple):
     """One trace under one policy."""
 
     trace: Trace
@@ -36,73 +51,75 @@
     measured: Figures
 
 
-def write_bench(traces: list[Trace], out: Path, say: Callable[[str], object]) -> int:
+def write_bench(traces: list[Trace], out: Path, report_progress: Callable[[str], object]) -> int:
     """Run everything, write the page and the plot; gives the number of missed outcomes."""
-    with ProcessPoolExecutor(WORKERS) as pool:
+    with ProcessPoolExecutor(WORKER_PROCESSES) as pool:
         jobs = [(trace, policy) for trace in traces for policy in _policies(trace)]
-        rows: list[Row] = []
-        for row in pool.map(_measure, jobs):
+        rows: list[BenchResult] = []
+        for row in pool.map(_run_job, jobs):
             rows.append(row)
-            say(f'{row.trace.header.name} {row.policy} goodput {row.measured.goodput:.3f}')
-        trade = _trade(traces, out, pool)
-    missed = [line for row in rows for line in _missed(row)]
-    lines = [HEAD, *_sections(rows), '## Outcomes that were missed', '']
+            report_progress(
+                f'{row.trace.header.name} {row.policy} goodput {row.measured.goodput:.3f}'
+            )
+        trade = _bias_lines(traces, out, pool)
+    missed = [line for row in rows for line in _missed_lines(row)]
+    lines = [PAGE_HEADER, *_table_lines(rows), '## Outcomes that were missed', '']
     lines += [*(missed or ['None.']), '', *trade]
-    (out / PAGE).write_text('\n'.join(lines) + '\n', encoding='utf-8')
+    (out / PAGE_FILE).write_text('\n'.join(lines) + '\n', encoding='utf-8')
     return len(missed)
 
 
 def _policies(trace: Trace) -> tuple[str, ...]:
-    return (*COMPARED, 'local') if trace.header.bias_trade else COMPARED
+    return (*COMPARED_POLICIES, 'local') if trace.header.bias_trade else COMPARED_POLICIES
 
 
-def _measure(job: tuple[Trace, str]) -> Row:
+def _run_job(job: tuple[Trace, str]) -> BenchResult:
     trace, policy = job
-    return Row(trace, policy, figures(replay(trace, policy)))
+    return BenchResult(trace, policy, compute_figures(replay(trace, policy)))
 
 
-def _missed(row: Row) -> list[str]:
+def _missed_lines(row: BenchResult) -> list[str]:
     return [
         f'- {row.trace.header.name}, {row.policy}: {c.expect.metric} {c.expect.op} '
-        f'{c.expect.value:g}, measured {shown(c.measured)}'
-        for c in checks(row.trace, row.policy, row.measured)
+        f'{c.expect.value:g}, measured {format_figure(c.measured)}'
+        for c in check_outcomes(row.trace, row.policy, row.measured)
         if not c.met
     ]
 
 
-def _sections(rows: list[Row]) -> list[str]:
+def _table_lines(rows: list[BenchResult]) -> list[str]:
     """Give one table for the traces that put recovery first, one for the others."""
     lines: list[str] = []
     for first, title in (('recovery', 'Recovery first'), ('goodput', 'Goodput first')):
         chosen = [row for row in rows if row.trace.header.first == first]
         if not chosen:
             continue
-        names = [n for n in figure_names(chosen[0].trace) if n in COLUMNS]
+        names = [n for n in ordered_figure_names(chosen[0].trace) if n in FIGURE_COLUMNS]
         lines += [f'## {title}', '', f'| trace | policy | {" | ".join(names)} |']
         lines += ['|---' * (len(names) + 2) + '|']
         for row in chosen:
-            values = ' | '.join(shown(getattr(row.measured, name)) for name in names)
+            values = ' | '.join(format_figure(getattr(row.measured, name)) for name in names)
             lines.append(f'| {row.trace.header.name} | {row.policy} | {values} |')
         lines.append('')
     return lines
 
 
-def _trade(traces: list[Trace], out: Path, pool: ProcessPoolExecutor) -> list[str]:
+def _bias_lines(traces: list[Trace], out: Path, pool: ProcessPoolExecutor) -> list[str]:
     """Run the traces that ask for it under several biases, and draw the plot."""
     lines = ['## What recovery_bias trades', '', '| trace | bias | goodput | recovery | wasted |']
     lines.append('|---|---|---|---|---|')
     curves: list[Curve] = []
     for trace in (t for t in traces if t.header.bias_trade):
-        jobs = [(_with_bias(trace, bias), 'current') for bias in BIASES]
-        found = [row.measured for row in pool.map(_measure, jobs)]
-        for bias, measured in zip(BIASES, found, strict=True):
+        jobs = [(_with_bias(trace, bias), 'current') for bias in RECOVERY_BIASES]
+        figures = [row.measured for row in pool.map(_run_job, jobs)]
+        for bias, measured in zip(RECOVERY_BIASES, figures, strict=True):
             cells = (measured.goodput, measured.recovery, measured.wasted)
-            text = ' | '.join(shown(cell) for cell in cells)
+            text = ' | '.join(format_figure(cell) for cell in cells)
             lines.append(f'| {trace.header.name} | {bias:g} | {text} |')
-        curves.append(Curve(trace.header.name, [(m.goodput, m.recovery) for m in found]))
+        curves.append(Curve(trace.header.name, [(m.goodput, m.recovery) for m in figures]))
     out.mkdir(parents=True, exist_ok=True)
-    (out / PLOT).write_text(plot(curves), encoding='utf-8')
-    return [*lines, '', f'![Recovery against goodput]({PLOT})']
+    (out / PLOT_FILE).write_text(plot(curves), encoding='utf-8')
+    return [*lines, '', f'![Recovery against goodput]({PLOT_FILE})']
 
 
 def _with_bias(trace: Trace, bias: float) -> Trace:
--- a/dunlinsaddle/replay/capacity.py
+++ b/dunlinsaddle/replay/capacity.py
@@ -6,10 +6,10 @@
 from dunlinsaddle.records.models import Rank
 from dunlinsaddle.replay.trace import Call, Chain, Trace
 
-_FULL = 1e-9
+_FULL_TOLERANCE = 1e-9
 
 
-def calls_of(chain: Chain) -> Counter[str]:
+def count_calls(chain: Chain) -> Counter[str]:
     """Count the calls to each service that one request of a chain makes."""
     count: Counter[str] = Counter()
 
@@ -22,7 +22,7 @@
     return count
 
 
-def rank_of(trace: Trace, chain: Chain) -> Rank:
+def chain_rank(trace: Trace, chain: Chain) -> Rank:
     """Give the rank that the record's rule gives a chain."""
     for rule in trace.records[chain.service].rules:
         if rule.name == chain.rule:
@@ -30,36 +30,36 @@
     return Rank.NORMAL
 
 
-def full_rate(trace: Trace) -> float:
+def saturation_rate(trace: Trace) -> float:
     """Give the rate, requests a second, at which the first service is full."""
     use: Counter[str] = Counter()
     total = sum(chain.share for chain in trace.chains.values())
     for chain in trace.chains.values():
-        for service, count in calls_of(chain).items():
+        for service, count in count_calls(chain).items():
             use[service] += count * chain.share / total  # type: ignore[assignment]
-    return min(_capacity(trace, name) / count for name, count in use.items())
+    return min(_calls_per_second(trace, name) / count for name, count in use.items())
 
 
-def allowed(trace: Trace, rate: float) -> dict[str, float]:
+def max_served_rates(trace: Trace, rate: float) -> dict[str, float]:
     """Give the rate at which each chain can be served at a rate of demand.
 
     The most valued rank is filled first; inside a rank all chains grow alike until a
     service that they need is full.
     """
-    left = {name: _capacity(trace, name) for name in trace.services}
+    left = {name: _calls_per_second(trace, name) for name in trace.services}
     total = sum(chain.share for chain in trace.chains.values())
     served: dict[str, float] = {}
     for rank in Rank:
         growing = {
             name: rate * chain.share / total
             for name, chain in trace.chains.items()
-            if rank_of(trace, chain) is rank
+            if chain_rank(trace, chain) is rank
         }
-        _fill(trace, growing, left, served)
+        _allocate(trace, growing, left, served)
     return served
 
 
-def _fill(
+def _allocate(
     trace: Trace, wanted: dict[str, float], left: dict[str, float], served: dict[str, float]
 ) -> None:
     growing = dict(wanted)
@@ -67,7 +67,7 @@
     while growing and done < 1:
         use: Counter[str] = Counter()
         for name, rate in growing.items():
-            for service, count in calls_of(trace.chains[name]).items():
+            for service, count in count_calls(trace.chains[name]).items():
                 use[service] += count * rate  # type: ignore[assignment]
         step = min([1 - done, *(left[s] / u for s, u in use.items() if u)])
         done += step
@@ -75,10 +75,12 @@
             left[service] -= step * used
         for name, rate in growing.items():
             served[name] = served.get(name, 0.0) + step * rate
-        full = {s for s, spare in left.items() if spare < _FULL * _capacity(trace, s)}
-        growing = {n: r for n, r in growing.items() if not full & set(calls_of(trace.chains[n]))}
+        full = {
+            s for s, spare in left.items() if spare < _FULL_TOLERANCE * _calls_per_second(trace, s)
+        }
+        growing = {n: r for n, r in growing.items() if not full & set(count_calls(trace.chains[n]))}
 
 
-def _capacity(trace: Trace, name: str) -> float:
+def _calls_per_second(trace: Trace, name: str) -> float:
     service = trace.services[name]
     return service.targets * service.slots / service.service_time
--- a/dunlinsaddle/replay/current_node.py
+++ b/dunlinsaddle/replay/current_node.py
@@ -7,10 +7,16 @@
 from dunlinsaddle.policy.quarantine import DEATHS_TO_QUARANTINE, Quarantine, Quarantined
 from dunlinsaddle.policy.retry import RetryAllowance, may_resend
 from dunlinsaddle.policy.route import Candidate, Router
-from dunlinsaddle.replay.attempt import ENTRY, Answer, Attempt, Parent, refused
+from dunlinsaddle.replay.attempt import (
+    EXTERNAL_ORIGIN,
+    Attempt,
+    CallOrigin,
+    Response,
+    failure_response,
+)
 from dunlinsaddle.replay.events import Process
 from dunlinsaddle.replay.fakes import FakeTarget
-from dunlinsaddle.replay.nodes import VIEW_LAG, FakeNode, Fleet
+from dunlinsaddle.replay.nodes import VIEW_DELAY_SECONDS, FakeNode, Fleet
 from dunlinsaddle.replay.trace import Call
 
 
@@ -20,22 +26,22 @@
     def __init__(
         self,
         fleet: Fleet,
-        instance: Candidate,
+        candidate: Candidate,
         target: FakeTarget,
         admission: AdmissionPolicy,
         router: Router,
         levels: ChainLevels | None = None,
     ) -> None:
-        super().__init__(fleet, instance, target, admission, router)
+        super().__init__(fleet, candidate, target, admission, router)
         self.levels = levels
-        self.guard = ResendGuard()
+        self.resend_guard = ResendGuard()
         self.quarantine = Quarantine()
 
-    def enter(self, attempt: Attempt, call: Call, allowance: RetryAllowance) -> Process:
+    def handle_request(self, attempt: Attempt, call: Call, allowance: RetryAllowance) -> Process:
         """Let early resends through only up to the record's ratio."""
         now, name = self.fleet.loop.now, str(attempt.fingerprint)
         record = self.fleet.records[call.service]
-        failure = self.guard.check(
+        failure = self.resend_guard.check(
             now,
             attempt.caller,
             name,
@@ -43,79 +49,87 @@
             ratio=record.resend_ratio,
         )
         if failure is not None:
-            return Answer(failure)
-        answer: Answer = yield from self.dispatch(attempt, call, allowance)
+            return Response(failure)
+        response: Response = yield from self.dispatch(attempt, call, allowance)
         now = self.fleet.loop.now
-        if answer.failure is None:
-            self.guard.record_answer(attempt.caller, name)
-        elif answer.failure.retry_after > 0:
-            wait = answer.failure.retry_after
-            self.guard.record_refusal(now, attempt.caller, name, wait)
-        return answer
+        if response.failure is None:
+            self.resend_guard.record_answer(attempt.caller, name)
+        elif response.failure.retry_after > 0:
+            wait = response.failure.retry_after
+            self.resend_guard.record_refusal(now, attempt.caller, name, wait)
+        return response
 
-    def _bar(self, attempt: Attempt) -> Failure | None:
+    def _check_quarantine(self, attempt: Attempt) -> Failure | None:
         self.quarantine.merge_deaths(self.fleet.loop.now, attempt.fingerprint, attempt.deaths)
         match self.quarantine.check(self.fleet.loop.now, attempt.fingerprint):
             case Quarantined(failure):
                 return failure
         return None
 
-    def _mourn(self, attempt: Attempt) -> None:
+    def _record_death(self, attempt: Attempt) -> None:
         now = self.fleet.loop.now
         attempt.deaths = self.quarantine.record_death(now, attempt.fingerprint)
-        self.fleet.loop.call_at(now + VIEW_LAG, self._tell, attempt.fingerprint, attempt.deaths)
+        self.fleet.loop.call_at(
+            now + VIEW_DELAY_SECONDS, self._propagate_deaths, attempt.fingerprint, attempt.deaths
+        )
 
-    def _tell(self, fingerprint: int, deaths: int) -> None:
+    def _propagate_deaths(self, fingerprint: int, deaths: int) -> None:
         for nodes in self.fleet.nodes.values():
             for node in nodes:
                 if isinstance(node, CurrentNode):
                     node.quarantine.merge_deaths(self.fleet.loop.now, fingerprint, deaths)
 
     def dispatch(
-        self, attempt: Attempt, call: Call, allowance: RetryAllowance, parent: Parent = ENTRY
+        self,
+        attempt: Attempt,
+        call: Call,
+        allowance: RetryAllowance,
+        origin: CallOrigin = EXTERNAL_ORIGIN,
     ) -> Process:
         """Refuse early what deeper hops would refuse, else send with the shared allowance."""
         loop = self.fleet.loop
-        refusal = self._early_refusal(attempt, call, parent)
+        refusal = self._early_refusal(attempt, call, origin)
         if refusal is not None:
-            return Answer(refusal)
+            return Response(refusal)
         tried: set[str] = set()
-        answer: Answer | None = None
+        response: Response | None = None
         while True:
-            listed = {n.instance.instance: n for n in self.fleet.nodes[call.service] if n.listed}
-            candidates = [node.instance for node in listed.values()]
+            listed = {
+                n.candidate.instance: n for n in self.fleet.nodes[call.service] if n.is_listed
+            }
+            candidates = [node.candidate for node in listed.values()]
             chosen = self.router.choose(loop.now, candidates, frozenset(tried))
             if chosen is None:
-                return answer or self._nobody(call)
-            if answer is not None and not allowance.spend():
-                return answer
-            if answer is not None:
+                return response or self._no_target_response(call)
+            if response is not None and not allowance.spend():
+                return response
+            if response is not None:
                 attempt.resent += 1
             tried.add(chosen.instance)
-            answer = yield from self._try(
-                attempt, call, allowance, listed[chosen.instance], parent.hop
+            response = yield from self._send_once(
+                attempt, call, allowance, listed[chosen.instance], origin.hop
             )
             if attempt.deaths >= DEATHS_TO_QUARANTINE:
-                return answer
-            idempotent = self.fleet.idempotent(call.service, call.rule)
-            if not may_resend(answer.kind, answer.outcome, idempotent=idempotent):
-                return answer
+                return response
+            idempotent = self.fleet.is_idempotent(call.service, call.rule)
+            if not may_resend(response.kind, response.outcome, idempotent=idempotent):
+                return response
 
-    def _early_refusal(self, attempt: Attempt, call: Call, parent: Parent) -> Failure | None:
+    def _early_refusal(self, attempt: Attempt, call: Call, origin: CallOrigin) -> Failure | None:
         now, levels = self.fleet.loop.now, self.levels
         if levels is None:
             return None
-        if parent.hop:
-            levels.record_call(now, parent.rule, call.service, call.rule)
+        if origin.hop:
+            levels.record_call(now, origin.rule, call.service, call.rule)
         level = attempt.priority.level
-        return levels.check(now, call.service, call.rule, level, parent.hop)
+        return levels.check(now, call.service, call.rule, level, origin.hop)
 
-    def _nobody(self, call: Call) -> Answer:
+    def _no_target_response(self, call: Call) -> Response:
         if self.levels is not None:
             self.levels.record_unavailable(self.fleet.loop.now, call.service, call.rule)
-        return refused(ErrorKind.NO_TARGET)
+        return failure_response(ErrorKind.NO_TARGET)
 
-    def _try(
+    def _send_once(
         self,
         attempt: Attempt,
         call: Call,
@@ -123,22 +137,22 @@
         node: FakeNode,
         hop: int,
     ) -> Process:
-        name = node.instance.instance
-        handed = allowance.delegate()
-        held = RetryAllowance(handed)
+        name = node.candidate.instance
+        delegated = allowance.delegate()
+        hop_allowance = RetryAllowance(delegated)
         self.router.record_sent(name)
-        answer: Answer = yield from self._send(node, attempt, call, held, hop)
-        if answer.kind in (ErrorKind.PEER_LOST, ErrorKind.NO_TARGET):
+        response: Response = yield from self._send(node, attempt, call, hop_allowance, hop)
+        if response.kind in (ErrorKind.PEER_LOST, ErrorKind.NO_TARGET):
             self.router.record_failure(self.fleet.loop.now, name)
         else:
-            self.router.record_answer(self.fleet.loop.now, name, answer.load)
-            if self.levels is not None and answer.load is not None:
+            self.router.record_answer(self.fleet.loop.now, name, response.load)
+            if self.levels is not None and response.load is not None:
                 self.levels.record_response(
-                    self.fleet.loop.now, call.service, call.rule, answer.load.reported_level
+                    self.fleet.loop.now, call.service, call.rule, response.load.reported_level
                 )
-        if answer.kind is not ErrorKind.PEER_LOST:
-            allowance.reclaim(handed, held.tokens)
-        return answer
+        if response.kind is not ErrorKind.PEER_LOST:
+            allowance.reclaim(delegated, hop_allowance.tokens)
+        return response
 
     def _load(self, call: Call) -> Load:
         load = super()._load(call)
--- a/dunlinsaddle/replay/events.py
+++ b/dunlinsaddle/replay/events.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 
-class Waiter:
+class Future:
     """Something that happens once; the process that yields it goes on with its value."""
 
     __slots__ = ('_done', '_loop', '_process', '_value')
@@ -16,7 +16,7 @@
         self._done = False
         self._value: Any = None
 
-    def resolve(self, value: Any) -> None:
+    def set_result(self, value: Any) -> None:
         """Let the waiting process go on; only the first call counts."""
         if self._done:
             return
@@ -24,7 +24,7 @@
         if self._process is not None:
             self._loop.step(self._process, value)
 
-    def attach(self, process: 'Process') -> None:
+    def add_waiter(self, process: 'Process') -> None:
         """Take the process that waits."""
         self._process = process
         if self._done:
@@ -32,7 +32,7 @@
 
 
 #: Yields seconds to sleep, or a Waiter.
-Process = Generator[float | Waiter, Any, Any]
+Process = Generator[float | Future, Any, Any]
 
 
 class EventLoop:
@@ -58,8 +58,8 @@
             wait = process.send(value)
         except StopIteration:
             return
-        if isinstance(wait, Waiter):
-            wait.attach(process)
+        if isinstance(wait, Future):
+            wait.add_waiter(process)
         else:
             self.call_at(self.now + wait, self.step, process, None)
 
--- a/dunlinsaddle/replay/fakes.py
+++ b/dunlinsaddle/replay/fakes.py
@@ -3,7 +3,7 @@
 from collections import deque
 from random import Random
 
-from dunlinsaddle.replay.events import EventLoop, Process, Waiter
+from dunlinsaddle.replay.events import EventLoop, Future, Process
 from dunlinsaddle.replay.trace import Service
 
 
@@ -18,62 +18,62 @@
         self.loop = loop
         self.service = service
         self.rng = rng
-        self.factor = 1.0
-        self.open = 0
-        self.deaths = 0
-        self.up = True
+        self.slowdown = 1.0
+        self.open_connections = 0
+        self.crash_count = 0
+        self.is_up = True
         self._busy = 0
-        self._queue: deque[Waiter] = deque()
+        self._queue: deque[Future] = deque()
         self._started = -1e9
 
-    def accepts(self) -> bool:
+    def accepts_connections(self) -> bool:
         """Say whether a connection can be had."""
-        return self.up and self.open < self.service.connections
+        return self.is_up and self.open_connections < self.service.connections
 
-    def compute(self, give_up: float) -> Process:
+    def compute(self, stop_at: float) -> Process:
         """Hold a slot for the time of one call; False when the target died or gave it up."""
-        life = self.deaths
+        crash_count = self.crash_count
         if self._busy >= self.service.slots:
-            waiter = Waiter(self.loop)
-            self._queue.append(waiter)
-            yield waiter
-            if self.deaths != life:
+            future = Future(self.loop)
+            self._queue.append(future)
+            yield future
+            if self.crash_count != crash_count:
                 return False
         else:
             self._busy += 1
-        seconds = self._seconds()
-        left = give_up - self.loop.now
+        seconds = self._draw_service_time()
+        left = stop_at - self.loop.now
         yield max(min(seconds, left), 0.0)
-        if self.deaths != life:
+        if self.crash_count != crash_count:
             return False
         self._free_slot()
         return seconds <= left
 
     def crash(self) -> None:
         """Lose everything in progress."""
-        self.up = False
-        self.deaths += 1
-        self._busy = self.open = 0
+        self.is_up = False
+        self.crash_count += 1
+        self._busy = self.open_connections = 0
         lost, self._queue = self._queue, deque()
-        for waiter in lost:
-            waiter.resolve(None)
+        for future in lost:
+            future.set_result(None)
 
     def start(self) -> None:
         """Come up, cold."""
-        self.up = True
+        self.is_up = True
         self._started = self.loop.now
 
     def _free_slot(self) -> None:
         if self._queue:
-            self._queue.popleft().resolve(None)
+            self._queue.popleft().set_result(None)
         else:
             self._busy -= 1
 
-    def _seconds(self) -> float:
-        mean = self.service.service_time * self.factor * self._coldness()
+    def _draw_service_time(self) -> float:
+        mean = self.service.service_time * self.slowdown * self._cold_start_factor()
         return mean * (0.5 + 0.5 * self.rng.expovariate(1.0))
 
-    def _coldness(self) -> float:
+    def _cold_start_factor(self) -> float:
         age = (self.loop.now - self._started) / self.service.cold_seconds
         return 1 + (self.service.cold_factor - 1) * max(1 - age, 0.0)
 
@@ -81,10 +81,10 @@
 class Network:
     """Which failure domains are cut off from the others; a domain still hears itself."""
 
-    def __init__(self, between: float) -> None:
-        self.between = between
-        self.cut: set[str] = set()
+    def __init__(self, latency: float) -> None:
+        self.latency = latency
+        self.isolated_domains: set[str] = set()
 
-    def reaches(self, one: str, other: str) -> bool:
+    def is_reachable(self, one: str, other: str) -> bool:
         """Say whether a message gets through."""
-        return one == other or not (self.cut & {one, other})
+        return one == other or not (self.isolated_domains & {one, other})
--- a/dunlinsaddle/replay/naive_node.py
+++ b/dunlinsaddle/replay/naive_node.py
@@ -3,8 +3,8 @@
 from dunlinsaddle.errors import ErrorKind
 from dunlinsaddle.policy.naive import RETRIES_PER_HOP
 from dunlinsaddle.policy.retry import RetryAllowance
-from dunlinsaddle.replay.attempt import ENTRY, Attempt, Parent, refused
-from dunlinsaddle.replay.events import Process, Waiter
+from dunlinsaddle.replay.attempt import EXTERNAL_ORIGIN, Attempt, CallOrigin, failure_response
+from dunlinsaddle.replay.events import Future, Process
 from dunlinsaddle.replay.nodes import FakeNode
 from dunlinsaddle.replay.trace import Call
 
@@ -13,33 +13,39 @@
     """A node that tries each call four times at each hop, with a timer of its own."""
 
     def dispatch(
-        self, attempt: Attempt, call: Call, allowance: RetryAllowance, parent: Parent = ENTRY
+        self,
+        attempt: Attempt,
+        call: Call,
+        allowance: RetryAllowance,
+        origin: CallOrigin = EXTERNAL_ORIGIN,
     ) -> Process:
         """Try up to three more targets, whatever the failure was."""
         loop = self.fleet.loop
-        answer = refused(ErrorKind.NO_TARGET)
+        response = failure_response(ErrorKind.NO_TARGET)
         for resend in range(RETRIES_PER_HOP + 1):
-            listed = [n for n in self.fleet.nodes[call.service] if n.listed]
+            listed = [n for n in self.fleet.nodes[call.service] if n.is_listed]
             if not listed:
-                return answer
+                return response
             attempt.resent += resend > 0
-            waiter = Waiter(loop)
+            future = Future(loop)
             timeout = self.fleet.records[call.service].deadline
-            loop.call_at(loop.now + timeout, waiter.resolve, refused(ErrorKind.DEADLINE_EXCEEDED))
+            loop.call_at(
+                loop.now + timeout, future.set_result, failure_response(ErrorKind.DEADLINE_EXCEEDED)
+            )
             loop.spawn(
-                self._answer(waiter, self.router.rng.choice(listed), attempt, call, parent.hop)
+                self._respond(future, self.router.rng.choice(listed), attempt, call, origin.hop)
             )
-            answer = yield waiter
-            if answer.failure is None:
-                return answer
-        return answer
+            response = yield future
+            if response.failure is None:
+                return response
+        return response
 
-    def _answer(
-        self, waiter: Waiter, node: FakeNode, attempt: Attempt, call: Call, hop: int
+    def _respond(
+        self, future: Future, node: FakeNode, attempt: Attempt, call: Call, hop: int
     ) -> Process:
-        answer = yield from self._send(node, attempt, call, RetryAllowance(0), hop)
-        waiter.resolve(answer)
+        response = yield from self._send(node, attempt, call, RetryAllowance(0), hop)
+        future.set_result(response)
 
-    def _give_up(self, attempt: Attempt) -> float:
+    def _stop_time(self, attempt: Attempt) -> float:
         """Deadlines are not carried down: the target works on for a caller that is gone."""
         return float('inf')
--- a/dunlinsaddle/replay/nodes.py
+++ b/dunlinsaddle/replay/nodes.py
@@ -16,13 +16,19 @@
 from dunlinsaddle.policy.retry import RetryAllowance
 from dunlinsaddle.policy.route import Candidate, Router
 from dunlinsaddle.records.models import ServiceRecord
-from dunlinsaddle.replay.attempt import ENTRY, Answer, Attempt, Parent, refused
-from dunlinsaddle.replay.events import EventLoop, Process, Waiter
+from dunlinsaddle.replay.attempt import (
+    EXTERNAL_ORIGIN,
+    Attempt,
+    CallOrigin,
+    Response,
+    failure_response,
+)
+from dunlinsaddle.replay.events import EventLoop, Future, Process
 from dunlinsaddle.replay.fakes import FakeTarget, Network
 from dunlinsaddle.replay.trace import Call
 
 SILENCE_TIMEOUT_SECONDS = 1.0  #: seconds until a silent connection is dropped
-VIEW_LAG = 0.5  #: seconds until all nodes have heard that a target has gone or come
+VIEW_DELAY_SECONDS = 0.5  #: seconds until all nodes have heard that a target has gone or come
 
 
 class Fleet(NamedTuple):
@@ -32,8 +38,8 @@
     network: Network
     records: dict[str, ServiceRecord]
     nodes: dict[str, list['FakeNode']]
-    idempotent: Callable[[str, str], bool]  #: by service and rule
-    died: Callable[['FakeNode'], None]  #: hears of a target that a request has killed
+    is_idempotent: Callable[[str, str], bool]  #: by service and rule
+    on_target_death: Callable[['FakeNode'], None]  #: hears of a target that a request has killed
 
 
 class FakeNode:
@@ -42,35 +48,39 @@
     def __init__(
         self,
         fleet: Fleet,
-        instance: Candidate,
+        candidate: Candidate,
         target: FakeTarget,
         admission: AdmissionPolicy,
         router: Router,
     ) -> None:
         self.fleet = fleet
-        self.instance = instance
+        self.candidate = candidate
         self.target = target
         self.admission = admission
         self.router = router
-        self.listed = True
-        self._waiting: dict[int, Waiter] = {}
-        self._tickets = 0
+        self.is_listed = True
+        self._waiting_calls: dict[int, Future] = {}
+        self._ticket_count = 0
 
-    def enter(self, attempt: Attempt, call: Call, allowance: RetryAllowance) -> Process:
+    def handle_request(self, attempt: Attempt, call: Call, allowance: RetryAllowance) -> Process:
         """Take a request of a caller."""
         return (yield from self.dispatch(attempt, call, allowance))
 
     def dispatch(
-        self, attempt: Attempt, call: Call, allowance: RetryAllowance, parent: Parent = ENTRY
+        self,
+        attempt: Attempt,
+        call: Call,
+        allowance: RetryAllowance,
+        origin: CallOrigin = EXTERNAL_ORIGIN,
     ) -> Process:
         """Send a call to targets of its service until one answer is final."""
         raise NotImplementedError
 
-    def _bar(self, attempt: Attempt) -> Failure | None:
+    def _check_quarantine(self, attempt: Attempt) -> Failure | None:
         """Refuse a request that targets have died of."""
         return None
 
-    def _mourn(self, attempt: Attempt) -> None:
+    def _record_death(self, attempt: Attempt) -> None:
         """Note that the target died while it ran a request."""
 
     def execute(
@@ -78,15 +88,15 @@
     ) -> Process:
         """Run a call at the local target, or refuse it."""
         loop = self.fleet.loop
-        if not self.target.up:
-            return refused(ErrorKind.NO_TARGET)
-        barred = self._bar(attempt)
-        if barred is not None:
-            return Answer(barred)
-        self._tickets += 1
+        if not self.target.is_up:
+            return failure_response(ErrorKind.NO_TARGET)
+        quarantine_failure = self._check_quarantine(attempt)
+        if quarantine_failure is not None:
+            return Response(quarantine_failure)
+        self._ticket_count += 1
         level = attempt.priority.level
         ticket = Ticket(
-            self._tickets,
+            self._ticket_count,
             level,
             loop.now,
             attempt.deadline,
@@ -96,24 +106,24 @@
         )
         match self.admission.admit(loop.now, ticket):
             case Refuse(failure):
-                return Answer(failure, self._load(call))
+                return Response(failure, self._load(call))
             case Wait(evicted):
                 if evicted is not None:
-                    self._settle(evicted, ErrorKind.OVERLOADED)
-                waiter = self._waiting[ticket.call_id] = Waiter(loop)
-                kind: ErrorKind | None = yield waiter
+                    self._resume(evicted, ErrorKind.OVERLOADED)
+                future = self._waiting_calls[ticket.call_id] = Future(loop)
+                kind: ErrorKind | None = yield future
                 if kind is not None:
-                    return refused(kind, self._load(call))
+                    return failure_response(kind, self._load(call))
         return (yield from self._run(attempt, call, allowance, ticket))
 
     def crash(self) -> None:
         """Let the target die; what waits here did not run."""
         self.target.crash()
-        for waiter in list(self._waiting.values()):
-            waiter.resolve(ErrorKind.NO_TARGET)
-        self._waiting.clear()
+        for future in list(self._waiting_calls.values()):
+            future.set_result(ErrorKind.NO_TARGET)
+        self._waiting_calls.clear()
 
-    def restarted(self) -> None:
+    def on_target_restart(self) -> None:
         """Hear that the target has announced itself anew."""
         if isinstance(self.admission, Admission):
             self.admission.reset_after_restart(self.fleet.loop.now)
@@ -121,51 +131,51 @@
     def _run(
         self, attempt: Attempt, call: Call, allowance: RetryAllowance, ticket: Ticket
     ) -> Process:
-        loop, life = self.fleet.loop, self.target.deaths
-        if not self.target.accepts():
+        loop, crash_count = self.fleet.loop, self.target.crash_count
+        if not self.target.accepts_connections():
             self._finish(ticket, Sample(call.rule, 0.0, completed=False))
-            return refused(ErrorKind.NO_TARGET)
-        self.target.open += 1
-        attempt.spend()
+            return failure_response(ErrorKind.NO_TARGET)
+        self.target.open_connections += 1
+        attempt.record_call_started()
         began = loop.now
         if attempt.kills:
             yield self.target.service.service_time
-            if self.target.deaths == life:
+            if self.target.crash_count == crash_count:
                 self.crash()
-                self.fleet.died(self)
-        computed: bool = self.target.deaths == life
+                self.fleet.on_target_death(self)
+        computed: bool = self.target.crash_count == crash_count
         if computed:
-            computed = yield from self.target.compute(self._give_up(attempt))
+            computed = yield from self.target.compute(self._stop_time(attempt))
         own_time = loop.now - began
-        answer = Answer()
+        response = Response()
         if computed and call.calls:
             self.admission.pause(loop.now, ticket)
             self._release()
-            parent = Parent(call.rule, ticket.hop + 1)
-            answer = yield from self._call_others(attempt, call, allowance, parent)
-        if self.target.deaths == life:
-            self.target.open -= 1
-        elif answer.failure is None:
+            origin = CallOrigin(call.rule, ticket.hop + 1)
+            response = yield from self._call_dependencies(attempt, call, allowance, origin)
+        if self.target.crash_count == crash_count:
+            self.target.open_connections -= 1
+        elif response.failure is None:
             computed = False
         if not computed:
             kind = ErrorKind.DEADLINE_EXCEEDED
-            kind = kind if self.target.deaths == life else ErrorKind.TARGET_LOST
-            answer = refused(kind)
+            kind = kind if self.target.crash_count == crash_count else ErrorKind.TARGET_LOST
+            response = failure_response(kind)
             if kind is ErrorKind.TARGET_LOST:
-                self._mourn(attempt)
-        done = answer.failure is None
+                self._record_death(attempt)
+        done = response.failure is None
         self._finish(ticket, Sample(call.rule, own_time, done))
-        return answer._replace(load=self._load(call))
+        return response._replace(load=self._load(call))
 
-    def _call_others(
-        self, attempt: Attempt, call: Call, allowance: RetryAllowance, parent: Parent
+    def _call_dependencies(
+        self, attempt: Attempt, call: Call, allowance: RetryAllowance, origin: CallOrigin
     ) -> Process:
         for child in call.calls:
-            answer: Answer = yield from self.dispatch(attempt, child, allowance, parent)
-            if answer.failure is not None:
+            response: Response = yield from self.dispatch(attempt, child, allowance, origin)
+            if response.failure is not None:
                 # The target passes a failure on as its own: the work has partly run here.
-                return Answer(answer.failure)
-        return Answer()
+                return Response(response.failure)
+        return Response()
 
     def _finish(self, ticket: Ticket, sample: Sample) -> None:
         now = self.fleet.loop.now
@@ -176,20 +186,20 @@
         now = self.fleet.loop.now
         released = self.admission.dequeue(now)
         for started in released.started:
-            self._settle(started, None)
+            self._resume(started, None)
         for dropped in released.expired:
-            self._settle(dropped, ErrorKind.TOO_LATE_TO_START)
+            self._resume(dropped, ErrorKind.TOO_LATE_TO_START)
 
-    def _settle(self, ticket: Ticket, kind: ErrorKind | None) -> None:
-        waiter = self._waiting.pop(ticket.call_id, None)
-        if waiter is not None:
+    def _resume(self, ticket: Ticket, kind: ErrorKind | None) -> None:
+        future = self._waiting_calls.pop(ticket.call_id, None)
+        if future is not None:
             # Not at once: who waits may finish too and come back here meanwhile.
-            self.fleet.loop.call_at(self.fleet.loop.now, waiter.resolve, kind)
+            self.fleet.loop.call_at(self.fleet.loop.now, future.set_result, kind)
 
     def _load(self, call: Call) -> Load:
         return self.admission.load(self.fleet.loop.now)
 
-    def _give_up(self, attempt: Attempt) -> float:
+    def _stop_time(self, attempt: Attempt) -> float:
         """Give the time at which the target stops work on a call."""
         return attempt.deadline
 
@@ -198,20 +208,20 @@
         other: 'FakeNode',
         attempt: Attempt,
         call: Call,
-        handed: RetryAllowance,
+        delegated: RetryAllowance,
         hop: int,
     ) -> Process:
         """Hand a call to another node and bring its answer back; lost when cut off."""
         network = self.fleet.network
         if other is self:
-            return (yield from self.execute(attempt, call, handed, hop))
-        if not network.reaches(self.instance.domain, other.instance.domain):
+            return (yield from self.execute(attempt, call, delegated, hop))
+        if not network.is_reachable(self.candidate.domain, other.candidate.domain):
             yield SILENCE_TIMEOUT_SECONDS
-            return refused(ErrorKind.PEER_LOST)
-        yield network.between
-        answer: Answer = yield from other.execute(attempt, call, handed, hop)
-        yield network.between
-        if not network.reaches(self.instance.domain, other.instance.domain):
+            return failure_response(ErrorKind.PEER_LOST)
+        yield network.latency
+        response: Response = yield from other.execute(attempt, call, delegated, hop)
+        yield network.latency
+        if not network.is_reachable(self.candidate.domain, other.candidate.domain):
             yield SILENCE_TIMEOUT_SECONDS
-            return refused(ErrorKind.PEER_LOST)
-        return answer
+            return failure_response(ErrorKind.PEER_LOST)
+        return response
--- a/dunlinsaddle/replay/plot.py
+++ b/dunlinsaddle/replay/plot.py
@@ -4,7 +4,7 @@
 
 WIDTH, HEIGHT, MARGIN = 640, 400, 60
 COLOURS = ('#1b6ca8', '#c0392b', '#2e8b57', '#8e44ad')
-LONGEST = 30.0  #: seconds at which a recovery that never came is drawn
+MAX_RECOVERY_SECONDS = 30.0  #: seconds at which a recovery that never came is drawn
 
 
 class Curve(NamedTuple):
@@ -16,14 +16,14 @@
 
 def plot(curves: list[Curve]) -> str:
     """Draw the curves."""
-    points = [(g, min(r, LONGEST)) for curve in curves for g, r in curve.points]
+    points = [(g, min(r, MAX_RECOVERY_SECONDS)) for curve in curves for g, r in curve.points]
     low = min((g for g, _ in points), default=0.0) - 0.02
     high = max((g for g, _ in points), default=1.0) + 0.02
     top = max((r for _, r in points), default=1.0) + 0.5
 
-    def place(goodput: float, recovery: float) -> tuple[float, float]:
+    def to_pixels(goodput: float, recovery: float) -> tuple[float, float]:
         x = MARGIN + (goodput - low) / (high - low) * (WIDTH - 2 * MARGIN)
-        y = HEIGHT - MARGIN - min(recovery, LONGEST) / top * (HEIGHT - 2 * MARGIN)
+        y = HEIGHT - MARGIN - min(recovery, MAX_RECOVERY_SECONDS) / top * (HEIGHT - 2 * MARGIN)
         return round(x, 1), round(y, 1)
 
     parts = [
@@ -39,10 +39,10 @@
     ]
     for number, curve in enumerate(curves):
         colour = COLOURS[number % len(COLOURS)]
-        placed = [place(*point) for point in curve.points]
-        line = ' '.join(f'{x},{y}' for x, y in placed)
+        coordinates = [to_pixels(*point) for point in curve.points]
+        line = ' '.join(f'{x},{y}' for x, y in coordinates)
         parts.append(f'<polyline points="{line}" fill="none" stroke="{colour}"/>')
-        parts += [f'<circle cx="{x}" cy="{y}" r="4" fill="{colour}"/>' for x, y in placed]
+        parts += [f'<circle cx="{x}" cy="{y}" r="4" fill="{colour}"/>' for x, y in coordinates]
         parts.append(
             f'<text x="{WIDTH - MARGIN}" y="{MARGIN + 16 * number}" text-anchor="end" '
             f'fill="{colour}">{curve.name}</text>'
--- a/dunlinsaddle/replay/run.py
+++ b/dunlinsaddle/replay/run.py
@@ -11,17 +11,17 @@
 from dunlinsaddle.policy.retry import RetryAllowance
 from dunlinsaddle.policy.route import Candidate, Router
 from dunlinsaddle.records.models import Rank
-from dunlinsaddle.replay.attempt import Answer, Attempt
-from dunlinsaddle.replay.capacity import full_rate, rank_of
+from dunlinsaddle.replay.attempt import Attempt, Response
+from dunlinsaddle.replay.capacity import chain_rank, saturation_rate
 from dunlinsaddle.replay.current_node import CurrentNode
 from dunlinsaddle.replay.events import EventLoop, Process
 from dunlinsaddle.replay.fakes import FakeTarget, Network
 from dunlinsaddle.replay.naive_node import NaiveNode
-from dunlinsaddle.replay.nodes import VIEW_LAG, FakeNode, Fleet
+from dunlinsaddle.replay.nodes import VIEW_DELAY_SECONDS, FakeNode, Fleet
 from dunlinsaddle.replay.trace import Arrival, Call, Chain, Demand, Fault, Trace
 
 POLICIES = ('naive', 'current', 'local')
-MIN_PAUSE = 0.001
+MIN_PAUSE_SECONDS = 0.001
 RESTART_SECONDS = 3.0  #: until a target that died is up again
 
 
@@ -32,15 +32,15 @@
     chain: str
     rank: Rank
     caller: str
-    arrived: float
+    arrived_at: float
     kills: bool = False
-    ended: float = 0.0
-    whole: bool = False
+    ended_at: float = 0.0
+    succeeded: bool = False
     attempts: list[Attempt] = field(default_factory=list)
 
 
 @dataclass(slots=True)
-class Run:
+class ReplayResult:
     """What a replay gave."""
 
     trace: Trace
@@ -58,7 +58,7 @@
         self.loop = EventLoop()
         self.rng = Random(trace.header.seed)
         self.network = Network(trace.header.between)
-        self.run_data = Run(trace, policy)
+        self.result = ReplayResult(trace, policy)
         idempotent = {
             (name, rule.name): rule.idempotent
             for name, record in trace.records.items()
@@ -70,44 +70,44 @@
             trace.records,
             {},
             lambda service, rule: idempotent.get((service, rule), True),
-            self._died,
+            self._on_target_death,
         )
         for name, service in trace.services.items():
             self.fleet.nodes[name] = [self._node(name, i) for i in range(service.targets)]
-        self.entries = [node for nodes in self.fleet.nodes.values() for node in nodes]
+        self.entry_nodes = [node for nodes in self.fleet.nodes.values() for node in nodes]
 
-    def run(self) -> Run:
+    def run(self) -> ReplayResult:
         """Run the trace to its end, and past it until all requests have ended."""
         for demand in self.trace.demands:
             self.loop.spawn(self._demand(demand))
         for arrival in self.trace.arrivals:
             self.loop.call_at(arrival.at, self._arrive, arrival)
         for fault in self.trace.faults:
-            self.loop.call_at(fault.at, self._begin, fault)
-            self.loop.call_at(fault.until, self._end, fault)
+            self.loop.call_at(fault.at, self._start_fault, fault)
+            self.loop.call_at(fault.until, self._end_fault, fault)
         longest = max(record.deadline for record in self.trace.records.values())
         self.loop.run(self.trace.header.duration + longest + 1)
-        return self.run_data
+        return self.result
 
     def _node(self, service: str, number: int) -> FakeNode:
         trace = self.trace
         domain = trace.header.domains[number % len(trace.header.domains)]
-        instance = Candidate(f'{service}-{number}', domain)
+        candidate = Candidate(f'{service}-{number}', domain)
         target = FakeTarget(self.loop, trace.services[service], Random(self.rng.random()))
-        router = Router(domain, Random(self.rng.random()), instance.instance)
+        router = Router(domain, Random(self.rng.random()), candidate.instance)
         record = trace.records[service]
         if self.policy == 'naive':
             slots = trace.services[service].slots
             limit = FixedLimit(slots, record.connections)
-            return NaiveNode(self.fleet, instance, target, limit, router)
+            return NaiveNode(self.fleet, candidate, target, limit, router)
         admission = Admission.from_record(record)
         levels = ChainLevels() if self.policy == 'current' else None
-        return CurrentNode(self.fleet, instance, target, admission, router, levels)
+        return CurrentNode(self.fleet, candidate, target, admission, router, levels)
 
     def _demand(self, demand: Demand) -> Process:
         chains = list(self.trace.chains.values())
         weights = [chain.share for chain in chains]
-        rate = demand.load * full_rate(self.trace)
+        rate = demand.load * saturation_rate(self.trace)
         yield demand.at
         while self.loop.now < demand.until:
             chain = self.rng.choices(chains, weights)[0]
@@ -121,10 +121,10 @@
 
     def _request(self, chain: Chain, caller: str, *, kills: bool) -> Process:
         """Send a request, again as its caller does, until it is whole or too late."""
-        rank = rank_of(self.trace, chain)
+        rank = chain_rank(self.trace, chain)
         req = Request(chain.name, rank, caller, self.loop.now, kills)
-        self.run_data.requests.append(req)
-        number = len(self.run_data.requests)
+        self.result.requests.append(req)
+        number = len(self.result.requests)
         deadline = self.loop.now + self.trace.records[chain.service].deadline
         callers = self.trace.callers
         call = Call(chain.service, chain.rule, chain.calls)
@@ -139,60 +139,62 @@
             pause = callers.pause if callers.pause != 'retry-after' else failure.retry_after
             if self.loop.now + pause >= deadline:
                 break
-            yield max(pause, MIN_PAUSE)
-        req.ended = self.loop.now
-        req.whole = failure is None and req.ended <= deadline
+            yield max(pause, MIN_PAUSE_SECONDS)
+        req.ended_at = self.loop.now
+        req.succeeded = failure is None and req.ended_at <= deadline
 
     def _send(self, attempt: Attempt, call: Call) -> Process:
-        entry = self.rng.choice(self.entries)
-        while not entry.listed:
-            entry = self.rng.choice(self.entries)
+        entry = self.rng.choice(self.entry_nodes)
+        while not entry.is_listed:
+            entry = self.rng.choice(self.entry_nodes)
         yield self.trace.header.clients
         allowance = RetryAllowance(self.trace.records[call.service].retry_bound)
-        answer: Answer = yield from entry.enter(attempt, call, allowance)
+        response: Response = yield from entry.handle_request(attempt, call, allowance)
         yield self.trace.header.clients
         late = self.loop.now > attempt.deadline
-        attempt.end(whole=answer.failure is None and not late)
-        failure: Failure | None = answer.failure
+        attempt.record_end(succeeded=response.failure is None and not late)
+        failure: Failure | None = response.failure
         return failure
 
-    def _begin(self, fault: Fault) -> None:
+    def _start_fault(self, fault: Fault) -> None:
         match fault.fault:
             case 'cut':
-                self.network.cut.add(fault.domain)
+                self.network.isolated_domains.add(fault.domain)
             case 'slow':
                 for node in self.fleet.nodes[fault.service]:
-                    node.target.factor = fault.factor
+                    node.target.slowdown = fault.factor
             case 'restart':
                 for node in self.fleet.nodes[fault.service]:
                     node.crash()
-                    self.loop.call_at(self.loop.now + VIEW_LAG, self._list, node)
+                    self.loop.call_at(
+                        self.loop.now + VIEW_DELAY_SECONDS, self._update_listing, node
+                    )
 
-    def _end(self, fault: Fault) -> None:
+    def _end_fault(self, fault: Fault) -> None:
         match fault.fault:
             case 'cut':
-                self.network.cut.discard(fault.domain)
+                self.network.isolated_domains.discard(fault.domain)
             case 'slow':
                 for node in self.fleet.nodes[fault.service]:
-                    node.target.factor = 1.0
+                    node.target.slowdown = 1.0
             case 'restart':
                 for node in self.fleet.nodes[fault.service]:
-                    self._start(node)
+                    self._start_target(node)
 
-    def _died(self, node: FakeNode) -> None:
-        self.run_data.deaths += 1
-        self.loop.call_at(self.loop.now + VIEW_LAG, self._list, node)
-        self.loop.call_at(self.loop.now + RESTART_SECONDS, self._start, node)
+    def _on_target_death(self, node: FakeNode) -> None:
+        self.result.deaths += 1
+        self.loop.call_at(self.loop.now + VIEW_DELAY_SECONDS, self._update_listing, node)
+        self.loop.call_at(self.loop.now + RESTART_SECONDS, self._start_target, node)
 
-    def _start(self, node: FakeNode) -> None:
+    def _start_target(self, node: FakeNode) -> None:
         node.target.start()
-        node.restarted()
-        self.loop.call_at(self.loop.now + VIEW_LAG, self._list, node)
+        node.on_target_restart()
+        self.loop.call_at(self.loop.now + VIEW_DELAY_SECONDS, self._update_listing, node)
 
-    def _list(self, node: FakeNode) -> None:
-        node.listed = node.target.up
+    def _update_listing(self, node: FakeNode) -> None:
+        node.is_listed = node.target.is_up
 
 
-def replay(trace: Trace, policy: str) -> Run:
+def replay(trace: Trace, policy: str) -> ReplayResult:
     """Run a trace under a policy."""
     return Replay(trace, policy).run()
--- a/dunlinsaddle/replay/trace.py
+++ b/dunlinsaddle/replay/trace.py
@@ -188,7 +188,7 @@
             trace.services[line.name] = line
             trace.records[line.name] = _record(number, line)
         case Chain():
-            _known_calls(trace, number, [Call(line.service, line.rule, line.calls)])
+            _check_calls(trace, number, [Call(line.service, line.rule, line.calls)])
             trace.chains[line.name] = line
         case Callers():
             trace.callers = line
@@ -199,7 +199,7 @@
                 raise TraceError(number, f'expected a chain named above, not {line.chain!r}')
             trace.arrivals.append(line)
         case Fault():
-            _known_place(trace, number, line)
+            _check_fault(trace, number, line)
             trace.faults.append(line)
         case Expect():
             trace.expects.append(line)
@@ -216,14 +216,14 @@
             raise TraceError(number, f'record: {failure.detail}')
 
 
-def _known_calls(trace: Trace, number: int, calls: list[Call]) -> None:
+def _check_calls(trace: Trace, number: int, calls: list[Call]) -> None:
     for call in calls:
         if call.service not in trace.services:
             raise TraceError(number, f'expected a service named above, not {call.service!r}')
-        _known_calls(trace, number, call.calls)
+        _check_calls(trace, number, call.calls)
 
 
-def _known_place(trace: Trace, number: int, fault: Fault) -> None:
+def _check_fault(trace: Trace, number: int, fault: Fault) -> None:
     if fault.fault == 'cut' and fault.domain not in trace.header.domains:
         raise TraceError(number, f'domain: expected one of the header, not {fault.domain!r}')
     if fault.fault != 'cut' and fault.service not in trace.services:
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -1,14 +1,13 @@
-import socket
-import tempfile
-from pathlib import Path
 
 import msgspec
-from testtools import TestCase
-
+import socket
+import tempfile
 from dunlinsaddle.cli.core import COMMANDS
 from dunlinsaddle.exit_status import ExitStatus
+from pathlib import Path
 from tests.builders import build_document
 from tests.utils import NodeThread, run_cli
+from testtools import TestCase
 
 TOKEN = 'a-token-for-tests'
 
@@ -16,9 +15,9 @@
 class CliTest(TestCase):
     def setUp(self):
         super().setUp()
-        self.place = NodeThread()
-        self.place.__enter__()
-        self.addCleanup(self.place.__exit__)
+        self.node = NodeThread()
+        self.node.__enter__()
+        self.addCleanup(self.node.__exit__)
         temporary = tempfile.TemporaryDirectory()
         self.addCleanup(temporary.cleanup)
         self.folder = Path(temporary.name)
@@ -29,7 +28,7 @@
         return str(path)
 
     def cli(self, *argv: str, **kwargs):
-        return self.place.cli(*argv, **kwargs)
+        return self.node.cli(*argv, **kwargs)
 
     def assert_fails(self, result, status: ExitStatus, text: str):
         self.assertEqual((status, ''), (result.status, result.output), result.error)
@@ -58,8 +57,8 @@
 
     def test_queries_tell_what_is_in_force(self):
         self.cli('apply', self.write(), self.write('slab-stock'))
-        self.place.wait_for_record('cut-orders')
-        self.place.wait_for_record('slab-stock')
+        self.node.wait_for_record('cut-orders')
+        self.node.wait_for_record('slab-stock')
         self.assertEqual('cut-orders', self.cli('list').output.splitlines()[1].split()[0])
         status = self.cli('status', '--json').json
         self.assertEqual('reachable', status['platform']['state'])
@@ -75,7 +74,7 @@
         wrong = self.write('slab-stock', retry_bound=11)
         result = self.cli('apply', self.write(), wrong)
         self.assert_fails(result, ExitStatus.INVALID_RECORD, 'retry_bound: 11: expected 0 to 10')
-        self.assertEqual(0, self.place.store.revision)
+        self.assertEqual(0, self.node.store.revision)
 
     def test_conflict_names_the_other_operator_and_what_changed(self):
         self.cli('apply', self.write())
@@ -85,7 +84,7 @@
         self.assertIn('(deadline)', result.error)
 
     def test_lost_answer_is_settled_and_the_change_made_once(self):
-        self.place.store.lose_answers = 1
+        self.node.store.lose_answers = 1
         result = self.cli('apply', self.write(), '--json')
         self.assertEqual((0, True), (result.status, result.json[0]['settled']))
         self.assertEqual(1, len(self.cli('history', 'cut-orders', '--json').json))
@@ -94,7 +93,7 @@
         # No write arrives and none is answered. The operator hears that the end is unknown
         # and with which id to ask again; that run makes the change, once.
         path = self.write()
-        self.place.store.drop_writes = 9
+        self.node.store.drop_writes = 9
         result = self.cli('apply', path)
         self.assert_fails(result, ExitStatus.UNAVAILABLE, 'whether it was written is not known')
         again = result.error.partition('run it again with ')[2].split()
@@ -107,7 +106,7 @@
         with socket.socket() as sock:
             sock.bind(('127.0.0.1', 0))
             closed = f'127.0.0.1:{sock.getsockname()[1]}'
-        callers = str(self.place.addresses.callers)
+        callers = str(self.node.addresses.callers)
         (self.folder / 'text.json').write_text('{')
         text = str(self.folder / 'text.json')
         cases = (
@@ -136,8 +135,8 @@
 
     def test_platform_that_is_out_is_one_line_and_reads_go_on(self):
         self.cli('apply', self.write())
-        self.place.wait_for_record('cut-orders')
-        self.place.store.down = True
+        self.node.wait_for_record('cut-orders')
+        self.node.store.down = True
         result = self.cli('apply', self.write(), '--expected', '1')
         self.assert_fails(result, ExitStatus.UNAVAILABLE, 'The platform cannot be reached')
         self.assertEqual('node', self.cli('get', 'cut-orders', '--json').json['source'])
--- a/tests/test_differential.py
+++ b/tests/test_differential.py
@@ -55,7 +55,7 @@
 def worths(lines: list[str]) -> tuple[int, int, int]:
     """Give the worth of what the naive and the current policy complete, and of all work."""
     naive, current = (replay(read_trace(lines), name).requests for name in ('naive', 'current'))
-    whole = [sum(WORTH[r.rank] for r in reqs if r.whole) for reqs in (naive, current)]
+    whole = [sum(WORTH[r.rank] for r in reqs if r.succeeded) for reqs in (naive, current)]
     return whole[0], whole[1], sum(WORTH[r.rank] for r in current)
 
 
--- a/tests/test_operators_page.py
+++ b/tests/test_operators_page.py
@@ -1,12 +1,11 @@
+
 import re
 import shlex
-from pathlib import Path
-
-from testtools import TestCase
-
 from dunlinsaddle.exit_status import ExitStatus
 from dunlinsaddle.settings import OPTIONS, env_name, secret_file_options
+from pathlib import Path
 from tests.utils import NodeThread
+from testtools import TestCase
 
 PAGE = (Path(__file__).parent.parent / 'docs' / 'OPERATORS.md').read_text()
 
@@ -15,12 +14,12 @@
     def test_each_command_works_as_written(self):
         commands = re.findall(r'^\$ dunlinsaddle (.+)$', PAGE, re.MULTILINE)
         self.assertGreater(len(commands), 10)
-        with NodeThread() as place:
+        with NodeThread() as node:
             for command in commands:
                 argv = shlex.split(command)
                 if argv[0] == 'explain':
-                    place.wait_for_record('cut-orders')
-                result = place.cli(*argv)
+                    node.wait_for_record('cut-orders')
+                result = node.cli(*argv)
                 self.assertEqual((0, ''), (result.status, result.error), command)
 
     def test_settings_are_listed_as_they_are(self):
--- a/tests/test_replay.py
+++ b/tests/test_replay.py
@@ -1,14 +1,13 @@
-import json
-from pathlib import Path
-
-from fixtures import TempDir
-from testtools import TestCase
 
+import json
 from dunlinsaddle.cli.core import program
 from dunlinsaddle.exit_status import ExitStatus
 from dunlinsaddle.replay.run import replay
 from dunlinsaddle.replay.trace import TraceError, read_trace
+from fixtures import TempDir
+from pathlib import Path
 from tests.builders import build_environment, build_trace_lines
+from testtools import TestCase
 
 TRACES = Path(__file__).parent / 'traces'
 
@@ -40,7 +39,7 @@
 class ReplayTest(TestCase):
     def test_same_seed_gives_the_same_run(self):
         runs = [replay(read_trace(build_trace_lines(load=2.0)), 'current') for _ in range(2)]
-        self.assertEqual(*([r.ended for r in run.requests] for run in runs))
+        self.assertEqual(*([r.ended_at for r in run.requests] for run in runs))
 
     def test_resends_keep_the_priority_of_their_request(self):
         """A caller refused at 4x sends again, with the same request id, and is refused again.
