--- a/dunlinsaddle/access/authentication.py
+++ b/dunlinsaddle/access/authentication.py
@@ -1,4 +1,7 @@
 """Authenticates requests by the keys of organisations."""
+
+from result import Err, Ok, Result
+
 from dunlinsaddle.access.configuration_lease import ConfigurationLease
 from dunlinsaddle.calls.call_state import RunningCall, is_derived_request_id
 from dunlinsaddle.errors import ErrorKind, Failure
@@ -7,7 +10,6 @@
 from dunlinsaddle.routes.config_follower import ConfigFollower
 from dunlinsaddle.routes.models import Organisation, Route
 from dunlinsaddle.routes.table import RouteTable
-from result import Err, Ok, Result
 
 #: Retry-After of a call whose parent request is unknown. A node that restarted beside a running
 #: target knows none of the target's requests, and these end within about a second.
@@ -50,7 +52,9 @@
         arrived_at = self.configuration_lease.clock()
 
         def is_decided() -> bool:
-            return self.configuration_lease.confirmed_at >= arrived_at or self._known(terms.key_digest)
+            return self.configuration_lease.confirmed_at >= arrived_at or self._known(
+                terms.key_digest
+            )
 
         await self.configuration_lease.wait_for(is_decided, CONFIRMATION_TIMEOUT_SECONDS)
         return is_decided()
@@ -82,7 +86,9 @@
             return Ok(None)
         if route.public:
             return Ok(
-                None if self.configuration_lease.expired else table.find_key_holder(terms.key_digest)
+                None
+                if self.configuration_lease.expired
+                else table.find_key_holder(terms.key_digest)
             )
         if not terms.key_digest and is_derived_request_id(terms.request_id):
             return Err(Failure(ErrorKind.PARENT_UNKNOWN, '', UNKNOWN_PARENT_RETRY_AFTER_SECONDS))
--- a/dunlinsaddle/access/lender_client.py
+++ b/dunlinsaddle/access/lender_client.py
@@ -1,12 +1,14 @@
 """Sends quota requests to lenders and tracks which lenders do not answer."""
+
 import asyncio
 import math
 import secrets
 from collections.abc import Coroutine
+from typing import Any, Protocol
+
 from dunlinsaddle.loops import LoopBound
 from dunlinsaddle.membership.messages import QuotaMessage, QuotaRequest, QuotaResponse, QuotaStatus
 from dunlinsaddle.policy.quota import Granted, QuotaDecision, RetryLater
-from typing import Any, Protocol
 
 #: Seconds after which a question is sent once more: datagrams get lost, and an answer takes some
 #: milliseconds.
--- a/dunlinsaddle/access/peers.py
+++ b/dunlinsaddle/access/peers.py
@@ -1,10 +1,12 @@
 """The gossip as the transport and membership view of the quota protocol."""
+
 from collections.abc import Callable
+from typing import Any
+
 from dunlinsaddle.loops import LoopBound
 from dunlinsaddle.membership.agent import GossipAgent
 from dunlinsaddle.membership.messages import QuotaMessage
 from dunlinsaddle.membership.view import MemberView, State
-from typing import Any
 
 #: Seconds for which a dead node counts as one that may still lend beyond a network partition.
 #: After that it counts as gone, and the other nodes lend its part.
--- a/dunlinsaddle/access/quotas.py
+++ b/dunlinsaddle/access/quotas.py
@@ -2,18 +2,21 @@
 
 The other nodes of an organisation's lenders are its substitutes, in the order of the hash ring.
 """
+
 import asyncio
 import math
 from collections import OrderedDict
 from collections.abc import Callable
+from typing import NamedTuple
+
+from result import Err, Ok, Result
+
 from dunlinsaddle.access.lender_client import LenderClient, QuotaPeers, build_answer
 from dunlinsaddle.errors import ErrorKind, Failure
 from dunlinsaddle.loops import LoopBound
 from dunlinsaddle.membership.messages import QuotaMessage, QuotaRequest, QuotaResponse, QuotaReturn
 from dunlinsaddle.policy.quota import Granted, HashRing, QuotaDecision, QuotaLedger, RetryLater
 from dunlinsaddle.routes.models import Organisation
-from result import Err, Ok, Result
-from typing import NamedTuple
 
 #: Seconds without an answer after which a lender counts as silent and the next one is asked.
 LENDER_TIMEOUT_SECONDS = 0.16
--- a/dunlinsaddle/calls/accepted_connection.py
+++ b/dunlinsaddle/calls/accepted_connection.py
@@ -1,13 +1,29 @@
 """Server side of one HTTP/1.1 connection: reads requests and writes the responses in order."""
+
 import asyncio
 import math
 from collections import deque
 from collections.abc import Awaitable, Callable
-from dunlinsaddle.calls.http import HOP_BY_HOP, HttpLimits, HttpRequest, HttpResponse, failure_response
-from dunlinsaddle.calls.http_codec import BODILESS_STATUSES, BodyTooLarge, HeadTooLarge, MalformedMessage, RequestMessage, RequestReader, encode_response
+from typing import Protocol, cast
+
+from dunlinsaddle.calls.http import (
+    HOP_BY_HOP,
+    HttpLimits,
+    HttpRequest,
+    HttpResponse,
+    failure_response,
+)
+from dunlinsaddle.calls.http_codec import (
+    BODILESS_STATUSES,
+    BodyTooLarge,
+    HeadTooLarge,
+    MalformedMessage,
+    RequestMessage,
+    RequestReader,
+    encode_response,
+)
 from dunlinsaddle.calls.keepalive import enable_keepalive
 from dunlinsaddle.errors import ErrorKind, Failure
-from typing import Protocol, cast
 
 MAX_TARGET_BYTES = 8192  #: of a path with its query; RFC 9110, 4.1 asks for at least 8,000
 CONTINUE_RESPONSE = b'HTTP/1.1 100 Continue\r\n\r\n'
--- a/dunlinsaddle/calls/call_state.py
+++ b/dunlinsaddle/calls/call_state.py
@@ -1,16 +1,24 @@
 """State of one call inside a node, and of the calls that the local target is running."""
+
 import asyncio
 import itertools
 import secrets
 from collections.abc import Callable
+from typing import NamedTuple
+
 from dunlinsaddle.calls.http import MIN_SERVER_ERROR_STATUS
-from dunlinsaddle.calls.messages import Call, Headers, MAX_TIMEOUT_SECONDS, RelayedTargetState, Reply
+from dunlinsaddle.calls.messages import (
+    MAX_TIMEOUT_SECONDS,
+    Call,
+    Headers,
+    RelayedTargetState,
+    Reply,
+)
 from dunlinsaddle.errors import Outcome
 from dunlinsaddle.policy.context import CallContext, Priority
 from dunlinsaddle.policy.retry import RetryAllowance
 from dunlinsaddle.records.models import Rank
 from dunlinsaddle.stats import Stats
-from typing import NamedTuple
 
 #: A random prefix and a counter make up a token: random bytes per call would cost a system call.
 _TOKEN_PREFIX = secrets.token_hex(8)
--- a/dunlinsaddle/calls/crash_notifier.py
+++ b/dunlinsaddle/calls/crash_notifier.py
@@ -1,7 +1,9 @@
 """Exchange between nodes of requests that crashed a target."""
+
 import asyncio
 import logging
 from collections.abc import Callable, Iterable
+
 from dunlinsaddle.calls.link import PeerLinks
 from dunlinsaddle.calls.messages import TargetDeaths
 from dunlinsaddle.loops import LoopBound
--- a/dunlinsaddle/calls/dispatch.py
+++ b/dunlinsaddle/calls/dispatch.py
@@ -1,5 +1,8 @@
 """Dispatch of a call to a target of its service, with resends to others where that is safe."""
+
 import asyncio
+from typing import TYPE_CHECKING, NamedTuple, Protocol
+
 from dunlinsaddle.calls.call_state import Attempt, PendingCall, build_call_frame
 from dunlinsaddle.calls.decisions import DecisionLog
 from dunlinsaddle.calls.execute import Executor
@@ -15,7 +18,6 @@
 from dunlinsaddle.policy.retry import LOST_ANSWER_KINDS, REFUSED_BY_NODE, RetryAllowance, may_resend
 from dunlinsaddle.policy.route import Candidate, Router
 from dunlinsaddle.stats import Stats
-from typing import NamedTuple, Protocol, TYPE_CHECKING
 
 if TYPE_CHECKING:
     from dunlinsaddle.calls.idempotency import IdempotencyRouter
--- a/dunlinsaddle/calls/execute.py
+++ b/dunlinsaddle/calls/execute.py
@@ -1,22 +1,38 @@
 """Execution of calls at the local target: admission, the wait in the queue and the request."""
+
 import asyncio
 from collections.abc import Callable
-from dunlinsaddle.calls.call_state import PendingCall, RunningCall, RunningCalls, downstream_retry_after
+from functools import partial
+
+from dunlinsaddle.calls.call_state import (
+    PendingCall,
+    RunningCall,
+    RunningCalls,
+    downstream_retry_after,
+)
 from dunlinsaddle.calls.client import HttpClient
 from dunlinsaddle.calls.connection import Answered
 from dunlinsaddle.calls.decisions import DecisionLog
-from dunlinsaddle.calls.http import HttpRequest, HttpResponse, MIN_SERVER_ERROR_STATUS
+from dunlinsaddle.calls.http import MIN_SERVER_ERROR_STATUS, HttpRequest, HttpResponse
 from dunlinsaddle.calls.messages import Lost, NotSent, RelayedTargetState, Reply, refusal
 from dunlinsaddle.calls.target import AdvertisedState, DefaultDialect, LocalTarget, TargetDialect
-from dunlinsaddle.calls.waiters import AdmissionFuture, RETRY_AFTER_SECONDS, Waiters
+from dunlinsaddle.calls.waiters import RETRY_AFTER_SECONDS, AdmissionFuture, Waiters
 from dunlinsaddle.errors import ErrorKind, Failure
 from dunlinsaddle.loops import LoopBound
-from dunlinsaddle.policy.admission import AdmissionDecision, AdmissionPolicy, Load, Refuse, Run, Sample, Ticket, Wait
+from dunlinsaddle.policy.admission import (
+    AdmissionDecision,
+    AdmissionPolicy,
+    Load,
+    Refuse,
+    Run,
+    Sample,
+    Ticket,
+    Wait,
+)
 from dunlinsaddle.policy.context import CallContext
-from dunlinsaddle.policy.level import ChainLevels, UPDATE_INTERVAL_SECONDS
+from dunlinsaddle.policy.level import UPDATE_INTERVAL_SECONDS, ChainLevels
 from dunlinsaddle.policy.quarantine import Quarantine, Quarantined, Suspected
 from dunlinsaddle.stats import Hop, Stats
-from functools import partial
 
 #: Slightly longer than the interval, so that the update is due when the timer fires.
 TICK_SECONDS = UPDATE_INTERVAL_SECONDS + 0.0001
--- a/dunlinsaddle/calls/handlers.py
+++ b/dunlinsaddle/calls/handlers.py
@@ -1,24 +1,40 @@
 """HTTP handlers for requests of callers and of the local target."""
+
 import asyncio
+from collections.abc import Callable
+from typing import TypedDict
+
 import msgspec
 import uuid6
 import xxhash
-from collections.abc import Callable
-from dunlinsaddle.calls.call_state import PendingCall, RunningCall, RunningCalls, WaitTime, record_added_latency
+
+from dunlinsaddle.calls.call_state import (
+    PendingCall,
+    RunningCall,
+    RunningCalls,
+    WaitTime,
+    record_added_latency,
+)
 from dunlinsaddle.calls.dispatch import Dispatcher
-from dunlinsaddle.calls.http import HttpRequest, HttpResponse, failure_response, forwarded_headers, json_response, response_from_reply
+from dunlinsaddle.calls.http import (
+    HttpRequest,
+    HttpResponse,
+    failure_response,
+    forwarded_headers,
+    json_response,
+    response_from_reply,
+)
 from dunlinsaddle.calls.messages import Reply, refusal
 from dunlinsaddle.calls.target import LocalTarget
 from dunlinsaddle.errors import ErrorKind, Failure, Outcome
 from dunlinsaddle.policy.callers import ResendGuard
 from dunlinsaddle.policy.classify import classify
-from dunlinsaddle.policy.context import CallContext, MAX_HOPS, inherit_priority, priority_of
+from dunlinsaddle.policy.context import MAX_HOPS, CallContext, inherit_priority, priority_of
 from dunlinsaddle.policy.retry import RetryAllowance
 from dunlinsaddle.records.models import Mode, RequestRule, ServiceRecord
 from dunlinsaddle.records.record_cache import RecordCache
 from dunlinsaddle.settings import parse_address
 from dunlinsaddle.stats import CallLabel, Stats
-from typing import TypedDict
 
 MAX_ID_LENGTH = 128  #: characters; common formats of request ids have 16 to 36
 KEYS_PATH = '/-/keys/'
--- a/dunlinsaddle/calls/handover.py
+++ b/dunlinsaddle/calls/handover.py
@@ -4,8 +4,13 @@
 its outcome would stay unknown. The next owner only remembers these keys: it never runs a key of an
 interval that it does not own.
 """
+
 import asyncio
 import logging
+from typing import NamedTuple
+
+from result import Ok
+
 from dunlinsaddle.batches import split_into_batches
 from dunlinsaddle.calls.link import PeerLinks
 from dunlinsaddle.calls.messages import FinishedKey, KeysPush, Reply
@@ -14,8 +19,6 @@
 from dunlinsaddle.policy.key_table import KeyRecord, KeyTable
 from dunlinsaddle.policy.keys import TimestampedKey, parse_key
 from dunlinsaddle.policy.ownership import Owner
-from result import Ok
-from typing import NamedTuple
 
 MAX_MESSAGE_BYTES = 1 << 18  #: 0.25 s on a link of 10 Mbit/s
 KEY_OVERHEAD_BYTES = 256  #: upper bound of the size of an entry without its reply
--- a/dunlinsaddle/calls/waiters.py
+++ b/dunlinsaddle/calls/waiters.py
@@ -1,10 +1,12 @@
 """The calls that wait for admission at one node, and the timers that bound their waits."""
+
 import asyncio
 from collections.abc import Callable
+from typing import NamedTuple
+
 from dunlinsaddle.errors import ErrorKind, Failure
 from dunlinsaddle.loops import LoopBound
 from dunlinsaddle.policy.admission import AdmissionPolicy, Ticket
-from typing import NamedTuple
 
 RETRY_AFTER_SECONDS = 1.0  #: about the time in which a queue makes progress
 #: Time before its deadline at which a waiting call is refused. The refusal, which says that the
--- a/dunlinsaddle/cli/argtypes.py
+++ b/dunlinsaddle/cli/argtypes.py
@@ -1,14 +1,17 @@
 """Arguments of commands, read into their types."""
-import msgspec
+
 from datetime import UTC, datetime
+from typing import Any
+
+import msgspec
+
 from dunlinsaddle.cli.exceptions import CommandError
 from dunlinsaddle.environment import Environment
 from dunlinsaddle.exit_status import ExitStatus
-from dunlinsaddle.settings import Address, SECRET_FORMAT, parse_address, parse_secret
-from typing import Any
+from dunlinsaddle.settings import SECRET_FORMAT, Address, parse_address, parse_secret
 
 
-def parse_address(name: str, text: str) -> Address:
+def parse_node_address(name: str, text: str) -> Address:
     """Read an address, or end the command with what is allowed."""
     try:
         return parse_address(text)
--- a/dunlinsaddle/cli/client.py
+++ b/dunlinsaddle/cli/client.py
@@ -1,6 +1,11 @@
 """Requests of the command-line tool to a node's operators' face."""
+
 import asyncio
+from typing import Any, NamedTuple
+from urllib.parse import quote
+
 import msgspec
+
 from dunlinsaddle.admin import LISTENER_HEADER
 from dunlinsaddle.calls.client import HttpClient
 from dunlinsaddle.calls.connection import Answered
@@ -10,8 +15,6 @@
 from dunlinsaddle.cli.exceptions import CommandError
 from dunlinsaddle.exit_status import ExitStatus
 from dunlinsaddle.settings import Address
-from typing import Any, NamedTuple
-from urllib.parse import quote
 
 _STATUSES = {
     401: ExitStatus.DENIED,
--- a/dunlinsaddle/cli/commands/apply.py
+++ b/dunlinsaddle/cli/commands/apply.py
@@ -1,11 +1,14 @@
 """``apply``: create or change records."""
+
+from typing import Any, NamedTuple
+
 from cleo.helpers import argument, option
+
 from dunlinsaddle.cli.argtypes import document_service, read_document
 from dunlinsaddle.cli.client import NodeClient
 from dunlinsaddle.cli.commands.change import CHANGE_OPTIONS, ChangeCommand, fetch_version
 from dunlinsaddle.cli.exceptions import CommandError
 from dunlinsaddle.exit_status import ExitStatus
-from typing import Any, NamedTuple
 
 
 class _Planned(NamedTuple):
--- a/dunlinsaddle/cli/commands/change.py
+++ b/dunlinsaddle/cli/commands/change.py
@@ -1,12 +1,15 @@
 """What the commands that change records share: who, why, and a send that may be repeated."""
+
+from typing import Any
+
 import uuid6
 from cleo.helpers import option
+
 from dunlinsaddle.cli.client import NodeClient
 from dunlinsaddle.cli.constants import MAX_SEND_ATTEMPTS, USER_VARIABLE
 from dunlinsaddle.cli.definition import NODE_OPTIONS, NodeCommand
 from dunlinsaddle.cli.exceptions import CommandError
 from dunlinsaddle.exit_status import ExitStatus
-from typing import Any
 
 CHANGE_OPTIONS = [
     *NODE_OPTIONS,
--- a/dunlinsaddle/cli/commands/delete.py
+++ b/dunlinsaddle/cli/commands/delete.py
@@ -1,5 +1,7 @@
 """``delete``: take a record away; its audit trail stays."""
+
 from cleo.helpers import argument
+
 from dunlinsaddle.cli.commands.change import CHANGE_OPTIONS, ChangeCommand, fetch_version
 from dunlinsaddle.exit_status import ExitStatus
 
--- a/dunlinsaddle/cli/core.py
+++ b/dunlinsaddle/cli/core.py
@@ -1,16 +1,25 @@
 """The command-line tool: ``main`` prepares, ``program`` works and can be called by tests."""
+
 import sys
+
 from cleo.application import Application
 from cleo.exceptions import CleoError
 from cleo.io.inputs.argv_input import ArgvInput
 from cleo.io.outputs.stream_output import StreamOutput
+
 from dunlinsaddle import __version__
 from dunlinsaddle.cli.commands.apply import ApplyCommand
 from dunlinsaddle.cli.commands.delete import DeleteCommand
-from dunlinsaddle.cli.definition import BaseCommand, DEBUG_FLAG, format_table
+from dunlinsaddle.cli.definition import DEBUG_FLAG, BaseCommand, format_table
 from dunlinsaddle.cli.queries.audit import AuditCommand, HistoryCommand
 from dunlinsaddle.cli.queries.failures import FailuresCommand
-from dunlinsaddle.cli.queries.nodes import ExplainCommand, MetricsCommand, RolloutCommand, StatusCommand, TargetsCommand
+from dunlinsaddle.cli.queries.nodes import (
+    ExplainCommand,
+    MetricsCommand,
+    RolloutCommand,
+    StatusCommand,
+    TargetsCommand,
+)
 from dunlinsaddle.cli.queries.records import DiffCommand, GetCommand, ListCommand
 from dunlinsaddle.cli.queries.replay import BenchCommand, ReplayCommand
 from dunlinsaddle.cli.queries.trace import TraceCommand
--- a/dunlinsaddle/cli/definition.py
+++ b/dunlinsaddle/cli/definition.py
@@ -1,17 +1,20 @@
 """What all commands of the tool share: options, output, and errors in one line."""
-import msgspec
+
 import traceback
+from datetime import UTC, datetime
+from typing import Any
+
+import msgspec
 from cleo.commands.command import Command
 from cleo.helpers import option
 from cleo.io.inputs.option import Option
-from datetime import UTC, datetime
-from dunlinsaddle.cli.argtypes import parse_address, parse_token
+
+from dunlinsaddle.cli.argtypes import parse_node_address, parse_token
 from dunlinsaddle.cli.client import NodeClient
 from dunlinsaddle.cli.constants import DEFAULT_NODE, NODE_VARIABLE, TOKEN_VARIABLE
 from dunlinsaddle.cli.exceptions import CommandError
 from dunlinsaddle.environment import Environment
 from dunlinsaddle.exit_status import ExitStatus
-from typing import Any
 
 DEBUG_FLAG = '--debug'
 JSON_OPTION = option('json', None, 'Write one JSON document.')
@@ -65,7 +68,7 @@
             raise CommandError(
                 ExitStatus.USAGE, f'no operator token: give --token or {TOKEN_VARIABLE}'
             )
-        return NodeClient(parse_address('node', text), parse_token('token', token))
+        return NodeClient(parse_node_address('node', text), parse_token('token', token))
 
 
 def flatten(value: dict[str, Any], prefix: str = '') -> list[list[str]]:
--- a/dunlinsaddle/cli/queries/audit.py
+++ b/dunlinsaddle/cli/queries/audit.py
@@ -1,9 +1,12 @@
 """``history`` and ``audit``: who changed what, when and why."""
+
+from typing import Any
+
 from cleo.helpers import argument, option
+
 from dunlinsaddle.cli.argtypes import parse_timestamp
 from dunlinsaddle.cli.definition import NODE_OPTIONS, NodeCommand, format_table, format_timestamp
 from dunlinsaddle.exit_status import ExitStatus
-from typing import Any
 
 HEADINGS = ['WHEN', 'SERVICE', 'WHO', 'FROM', 'TO', 'CHANGED', 'WHY']
 
--- a/dunlinsaddle/cli/queries/failures.py
+++ b/dunlinsaddle/cli/queries/failures.py
@@ -1,12 +1,15 @@
 """``failures``: what requests failed of, counted over the logs of any number of nodes."""
-from cleo.helpers import argument, option
+
 from collections import Counter
 from collections.abc import Iterable
+from typing import Any, NamedTuple
+
+from cleo.helpers import argument, option
+
 from dunlinsaddle.calls.decisions import Event
-from dunlinsaddle.cli.definition import BaseCommand, JSON_OPTION, format_table
+from dunlinsaddle.cli.definition import JSON_OPTION, BaseCommand, format_table
 from dunlinsaddle.cli.queries.trace import parse_events, read_log_files
 from dunlinsaddle.exit_status import ExitStatus
-from typing import Any, NamedTuple
 
 HEADINGS = ['COUNT', 'OF', 'SERVICE', 'RULE', 'REASON']
 TARGET_FAILED = 'the target failed'
--- a/dunlinsaddle/cli/queries/nodes.py
+++ b/dunlinsaddle/cli/queries/nodes.py
@@ -1,5 +1,7 @@
 """``status``, ``rollout``, ``targets``, ``metrics`` and ``explain``: what a node knows."""
+
 from cleo.helpers import argument
+
 from dunlinsaddle.cli.definition import NodeCommand, flatten, format_table
 from dunlinsaddle.exit_status import ExitStatus
 
--- a/dunlinsaddle/cli/queries/records.py
+++ b/dunlinsaddle/cli/queries/records.py
@@ -1,6 +1,8 @@
 """``get``, ``list`` and ``diff``: what the records say."""
+
 import msgspec
 from cleo.helpers import argument
+
 from dunlinsaddle.cli.argtypes import document_service, read_document
 from dunlinsaddle.cli.definition import NodeCommand, format_table, format_timestamp
 from dunlinsaddle.exit_status import ExitStatus
--- a/dunlinsaddle/cli/queries/replay.py
+++ b/dunlinsaddle/cli/queries/replay.py
@@ -1,14 +1,24 @@
 """``replay`` and ``bench``: recorded traces against their stated outcomes."""
+
+from pathlib import Path
+from typing import Any
+
 from cleo.helpers import argument, option
-from dunlinsaddle.cli.definition import BaseCommand, JSON_OPTION, format_table
+
+from dunlinsaddle.cli.definition import JSON_OPTION, BaseCommand, format_table
 from dunlinsaddle.cli.exceptions import CommandError
 from dunlinsaddle.exit_status import ExitStatus
 from dunlinsaddle.replay.bench import write_bench
-from dunlinsaddle.replay.report import Figures, OutcomeCheck, check_outcomes, compute_figures, format_figure, ordered_figure_names
+from dunlinsaddle.replay.report import (
+    Figures,
+    OutcomeCheck,
+    check_outcomes,
+    compute_figures,
+    format_figure,
+    ordered_figure_names,
+)
 from dunlinsaddle.replay.run import POLICIES, replay
 from dunlinsaddle.replay.trace import Trace, TraceError, read_trace
-from pathlib import Path
-from typing import Any
 
 DEFAULT_TRACES_DIRECTORY = 'tests/traces'
 
--- a/dunlinsaddle/cli/queries/trace.py
+++ b/dunlinsaddle/cli/queries/trace.py
@@ -1,13 +1,16 @@
 """``trace``: the story of one request, from the log lines of any number of nodes."""
-import msgspec
-from cleo.helpers import argument, option
+
 from collections.abc import Iterable, Iterator
 from datetime import datetime, timedelta
+from typing import Any, NamedTuple
+
+import msgspec
+from cleo.helpers import argument, option
+
 from dunlinsaddle.calls.decisions import Event
-from dunlinsaddle.cli.definition import BaseCommand, JSON_OPTION, format_table
+from dunlinsaddle.cli.definition import JSON_OPTION, BaseCommand, format_table
 from dunlinsaddle.cli.exceptions import CommandError
 from dunlinsaddle.exit_status import ExitStatus
-from typing import Any, NamedTuple
 
 HEADINGS = ['TIME', 'INSTANCE', 'DECISION', 'INPUTS']
 #: Fields that have a column of their own, or say nothing of the request.
--- a/dunlinsaddle/environment.py
+++ b/dunlinsaddle/environment.py
@@ -1,13 +1,15 @@
 """What a program touches outside itself, handed down and never global."""
+
 import os
 import sys
 import time
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass, field
-from dunlinsaddle.membership.transport import TransportFactory, open_udp
 from random import Random
 from typing import TextIO
 
+from dunlinsaddle.membership.transport import TransportFactory, open_udp
+
 
 @dataclass
 class Environment:
--- a/dunlinsaddle/membership/roster.py
+++ b/dunlinsaddle/membership/roster.py
@@ -3,16 +3,19 @@
 A roster names a few instances, not all: gossip brings the rest. Only the few nodes that the
 rendezvous hash picks keep it, so the platform's calls do not grow with the fleet.
 """
+
 import asyncio
+from random import Random
+from typing import Any, NamedTuple, TypedDict
+
 import msgspec
+from result import Ok
+
 from dunlinsaddle.membership.coordinators import COORDINATORS_PER_DOMAIN, rank_by_hash
 from dunlinsaddle.membership.protocol import GossipProtocol
 from dunlinsaddle.membership.view import Member, State
 from dunlinsaddle.platform.store import ABSENT, ObjectStore
 from dunlinsaddle.settings import parse_address
-from random import Random
-from result import Ok
-from typing import Any, NamedTuple, TypedDict
 
 ROSTERS = 'rosters'
 MIN_LIVE_LISTED = 3  #: live members that a roster must list, for the same reason
--- a/dunlinsaddle/membership/sync.py
+++ b/dunlinsaddle/membership/sync.py
@@ -1,14 +1,22 @@
 """When a node compares its view with others, and what it tells of what differs."""
+
 from collections.abc import Iterator
+from itertools import islice, takewhile
+from random import Random
+
 from dunlinsaddle.batches import split_into_batches
-from dunlinsaddle.membership.messages import MemberUpdate, SYNC_PAGE_BYTES, Sync, encoded_size, update_of
+from dunlinsaddle.membership.messages import (
+    SYNC_PAGE_BYTES,
+    MemberUpdate,
+    Sync,
+    encoded_size,
+    update_of,
+)
 from dunlinsaddle.membership.rumors import ByteBudget
 from dunlinsaddle.membership.tombstones import Tombstones
 from dunlinsaddle.membership.tuning import GossipLimits, GossipTimes
 from dunlinsaddle.membership.view import Member, MemberView
 from dunlinsaddle.settings import Address
-from itertools import islice, takewhile
-from random import Random
 
 
 class SyncResponder:
@@ -39,7 +47,9 @@
         """Give words on the members of these buckets, a message each, as the budget allows."""
         members = self._in_order(differing)
         words = (update_of(m, age=self.tombstones.age(now, m.instance)) for m in members)
-        pages = islice(split_into_batches(words, encoded_size, SYNC_PAGE_BYTES), self.sizes.max_sync_pages)
+        pages = islice(
+            split_into_batches(words, encoded_size, SYNC_PAGE_BYTES), self.sizes.max_sync_pages
+        )
         return takewhile(lambda page: self.budget.try_spend(sum(map(encoded_size, page))), pages)
 
     def _in_order(self, differing: set[int]) -> Iterator[Member]:
--- a/dunlinsaddle/mesh/daemon.py
+++ b/dunlinsaddle/mesh/daemon.py
@@ -3,10 +3,15 @@
 The process uses the event loop of ``uvloop``: a call through two nodes took 0.35 ms of processor
 time with it and 0.46 ms with asyncio's own, including all four HTTP endpoints.
 """
+
 import asyncio
 import os
 import signal
+from pathlib import Path
+
 import uvloop
+from result import Err, Ok, Result
+
 from dunlinsaddle.environment import Environment
 from dunlinsaddle.exit_status import ExitStatus
 from dunlinsaddle.logs import NonBlockingStream, create_logger
@@ -15,8 +20,6 @@
 from dunlinsaddle.mesh.settings import MeshSettings
 from dunlinsaddle.platform.node_file import read_node_file
 from dunlinsaddle.settings import SettingError
-from pathlib import Path
-from result import Err, Ok, Result
 
 #: Interval of the checks for a changed settings file. A change must apply within twice that time.
 SETTINGS_POLL_SECONDS = 1.0
@@ -47,7 +50,9 @@
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
             return runner.run(_serve(MeshNode(settings, env, logger), path))
     except OSError as exc:
-        env.print_error(f'cannot listen: {exc}; change the address or stop the process that uses it')
+        env.print_error(
+            f'cannot listen: {exc}; change the address or stop the process that uses it'
+        )
         return ExitStatus.ERROR
 
 
--- a/dunlinsaddle/mesh/level_gossip.py
+++ b/dunlinsaddle/mesh/level_gossip.py
@@ -1,9 +1,11 @@
 """Gossip of the level that the local target admits, sent while the target refuses requests."""
+
 import asyncio
+
 from dunlinsaddle.loops import LoopBound
 from dunlinsaddle.membership.agent import GossipAgent
 from dunlinsaddle.policy.context import LOWEST_LEVEL
-from dunlinsaddle.policy.level import ChainLevels, ReportedLevel, STALE_AFTER_SECONDS
+from dunlinsaddle.policy.level import STALE_AFTER_SECONDS, ChainLevels, ReportedLevel
 from dunlinsaddle.policy.slots import SlotAdmission
 
 #: Half of the time after which a learned level counts as stale, so that a node that misses one
--- a/dunlinsaddle/mesh/metrics.py
+++ b/dunlinsaddle/mesh/metrics.py
@@ -3,9 +3,15 @@
 Histograms are plain counters with the label ``le``, read at each scrape: recording each call with
 an instrument took 17 us, a tenth of the time that a node spends on a call.
 """
+
 import asyncio
 import math
 from collections import Counter
+from typing import Protocol
+
+from opentelemetry.exporter.prometheus import PrometheusMetricReader
+from prometheus_client import CollectorRegistry, generate_latest
+
 from dunlinsaddle.access.configuration_lease import ConfigurationLease
 from dunlinsaddle.access.quotas import QuotaCoordinator
 from dunlinsaddle.calls.http import HttpRequest, HttpResponse, failure_response
@@ -22,9 +28,6 @@
 from dunlinsaddle.policy.slots import SlotAdmission
 from dunlinsaddle.routes.config_follower import ConfigFollower
 from dunlinsaddle.stats import LATENCY_BOUNDS, Stats
-from opentelemetry.exporter.prometheus import PrometheusMetricReader
-from prometheus_client import CollectorRegistry, generate_latest
-from typing import Protocol
 
 MAX_AGE_SECONDS = 86_400.0  #: upper bound of reported ages, as a gauge cannot be infinite
 #: Organisations in one metric; with a label for each, the metric would grow with the customers.
--- a/dunlinsaddle/mesh/retries.py
+++ b/dunlinsaddle/mesh/retries.py
@@ -1,4 +1,5 @@
 """Decides which requests are sent to another target, within a shared retry budget."""
+
 from dunlinsaddle.calls.call_state import PendingCall
 from dunlinsaddle.calls.messages import Reply
 from dunlinsaddle.errors import ErrorKind, Outcome
--- a/dunlinsaddle/mesh/target_protocol.py
+++ b/dunlinsaddle/mesh/target_protocol.py
@@ -1,9 +1,15 @@
 """HTTP protocol that the platform's targets expect: request headers and response checks."""
+
 from dunlinsaddle.calls.call_state import PendingCall, RunningCall
 from dunlinsaddle.calls.http import HttpResponse
 from dunlinsaddle.calls.messages import Headers, Reply
 from dunlinsaddle.calls.target import AdvertisedState, LocalTarget
-from dunlinsaddle.platform.requests import build_attempt_headers, decode_reply, matches_request, read_advertised_state
+from dunlinsaddle.platform.requests import (
+    build_attempt_headers,
+    decode_reply,
+    matches_request,
+    read_advertised_state,
+)
 
 
 class MeshTargetProtocol:
--- a/dunlinsaddle/mesh/target_status.py
+++ b/dunlinsaddle/mesh/target_status.py
@@ -1,9 +1,11 @@
 """Status that the local target announces with its responses: its rate limit and its departure."""
+
 import math
 from collections.abc import Callable
+
 from dunlinsaddle.calls.decisions import DecisionLog
 from dunlinsaddle.calls.messages import RelayedTargetState
-from dunlinsaddle.calls.target import AdvertisedState, LocalTarget, NOTHING_ADVERTISED
+from dunlinsaddle.calls.target import NOTHING_ADVERTISED, AdvertisedState, LocalTarget
 from dunlinsaddle.loops import LoopBound
 from dunlinsaddle.policy.rate import MIN_RATE
 from dunlinsaddle.policy.slots import SlotAdmission
--- a/dunlinsaddle/metrics.py
+++ b/dunlinsaddle/metrics.py
@@ -3,19 +3,22 @@
 A call pays for a few integer additions in ``Stats``; instruments are observed on the loop's
 own thread, for the operators' face or for an OTLP collector, so no count needs a lock.
 """
+
 import asyncio
 from collections.abc import Callable, Iterable, Mapping, Sequence
-from dunlinsaddle import __version__
-from dunlinsaddle.calls.idempotency import IdempotencyRouter
-from dunlinsaddle.records.record_cache import RecordCache
-from dunlinsaddle.stats import QUEUE_TIME_BOUNDS, Stats
 from itertools import accumulate
+from typing import Any
+
 from opentelemetry.exporter.otlp.proto.http.metric_exporter import OTLPMetricExporter
 from opentelemetry.metrics import CallbackOptions, Observation
 from opentelemetry.sdk.metrics import MeterProvider
 from opentelemetry.sdk.metrics.export import InMemoryMetricReader, MetricReader, MetricsData
 from opentelemetry.sdk.resources import Resource
-from typing import Any
+
+from dunlinsaddle import __version__
+from dunlinsaddle.calls.idempotency import IdempotencyRouter
+from dunlinsaddle.records.record_cache import RecordCache
+from dunlinsaddle.stats import QUEUE_TIME_BOUNDS, Stats
 
 EXPORT_INTERVAL_SECONDS = 10.0  #: seconds between two exports, by judgement
 EXPORT_TIMEOUT_SECONDS = 5  #: seconds; half of the above, so that exports never overlap
--- a/dunlinsaddle/platform/heartbeats.py
+++ b/dunlinsaddle/platform/heartbeats.py
@@ -1,13 +1,16 @@
 """Heartbeats of the target beside a node, as they arrive at its address for them."""
+
+from typing import Annotated, Literal
+from urllib.parse import unquote
+
 import msgspec
+from msgspec import Meta
+from result import Err, Ok, Result
+
 from dunlinsaddle.calls.http import HttpRequest, HttpResponse, json_response
 from dunlinsaddle.mesh.heartbeats import Deregistration, Heartbeat
 from dunlinsaddle.platform.units import parse_seconds
 from dunlinsaddle.settings import parse_address
-from msgspec import Meta
-from result import Err, Ok, Result
-from typing import Annotated, Literal
-from urllib.parse import unquote
 
 INSTANCES_PATH = '/instances/'
 
--- a/dunlinsaddle/platform/requests.py
+++ b/dunlinsaddle/platform/requests.py
@@ -1,13 +1,15 @@
 """Requests and answers as callers and targets of the platform write them."""
+
 import math
 import re
+from typing import NamedTuple
+
 from dunlinsaddle.access.keys import key_digest
 from dunlinsaddle.calls.http import HttpRequest, HttpResponse, forwarded_headers
 from dunlinsaddle.calls.messages import Headers, Reply, refusal
-from dunlinsaddle.calls.target import AdvertisedState, NOTHING_ADVERTISED
+from dunlinsaddle.calls.target import NOTHING_ADVERTISED, AdvertisedState
 from dunlinsaddle.errors import ErrorKind, Failure, Outcome
 from dunlinsaddle.platform import headers as names
-from typing import NamedTuple
 
 _SET_HERE = frozenset({names.REMAINING_MILLISECONDS, names.CALLER_SERVICE, names.EXPECTED_TARGET})
 #: Headers that end at the entry where callers need a key: the key itself must not leave it, and a
--- a/dunlinsaddle/records/topology.py
+++ b/dunlinsaddle/records/topology.py
@@ -1,5 +1,7 @@
 """Which members watch, and which pass records on to which: pure choices by rendezvous hash."""
+
 from collections.abc import Iterable
+
 from dunlinsaddle.membership.coordinators import rendezvous_score
 from dunlinsaddle.membership.view import Member
 
--- a/dunlinsaddle/routes/lease_renewal.py
+++ b/dunlinsaddle/routes/lease_renewal.py
@@ -1,12 +1,14 @@
 """Renews the lease on a node's configuration with few calls to the store."""
+
 import asyncio
 import math
+from random import Random
+
 from dunlinsaddle.access.configuration_lease import ConfigurationLease
 from dunlinsaddle.loops import LoopBound
 from dunlinsaddle.membership.coordinators import StoreWatchers
 from dunlinsaddle.membership.view import Member, MemberView
 from dunlinsaddle.routes.config_follower import ConfigFollower
-from random import Random
 
 RENEWAL_INTERVAL_SECONDS = 0.25  #: between two checks whether and whom to ask
 #: Lease age in seconds from which the first watcher of a failure domain calls the store. It bounds
--- a/standins/mesh_target.py
+++ b/standins/mesh_target.py
@@ -1,11 +1,14 @@
 """A target of the users' platform: heartbeats, slots, signed answers, and calls of its own."""
+
 import argparse
 import asyncio
 import contextlib
-import msgspec
 import signal
 import time
+
+import msgspec
 import uuid6
+
 from dunlinsaddle.calls.client import HttpClient
 from dunlinsaddle.calls.connection import Answered
 from dunlinsaddle.calls.http import HttpLimits, HttpRequest, HttpResponse, json_response
--- a/standins/scale.py
+++ b/standins/scale.py
@@ -3,10 +3,10 @@
 Each process runs the control parts of one node, or of several where there are more nodes than
 processes. The parent asks them what their nodes hold, and so sees when all have heard of a change.
 """
+
 import argparse
 import asyncio
 import contextlib
-import msgspec
 import os
 import resource
 import signal
@@ -14,13 +14,16 @@
 import sys
 import time
 from collections.abc import Callable
+from pathlib import Path
+from random import Random
+from typing import Any, NamedTuple
+
+import msgspec
+
 from dunlinsaddle.membership.agent import GossipAgent
 from dunlinsaddle.membership.transport import open_udp
 from dunlinsaddle.membership.view import Member, MemberView, State
 from dunlinsaddle.settings import Address, parse_address
-from pathlib import Path
-from random import Random
-from typing import Any, NamedTuple
 
 KEY = 'a-key-for-trials'
 SIZES = (4, 16, 64, 128)
--- a/standins/stages.py
+++ b/standins/stages.py
@@ -4,15 +4,19 @@
 only ever add to a turn. The caches are warm here, as they are not in a node that waits
 between its calls, so the figures serve to compare two versions of the code.
 """
+
 import argparse
 import asyncio
 import cProfile
-import h11
 import io
 import logging
 import socket
 import time
 from collections.abc import Callable
+from random import Random
+
+import h11
+
 from dunlinsaddle.calls.frames import _decoder, _encoder
 from dunlinsaddle.calls.http import HttpLimits
 from dunlinsaddle.calls.listener import HttpListener
@@ -24,7 +28,6 @@
 from dunlinsaddle.policy.route import Candidate, Router
 from dunlinsaddle.records.models import ServiceRecord, VersionedRecord
 from dunlinsaddle.settings import Address, read_settings
-from random import Random
 from standins.caller import Caller
 from standins.demo import say
 from standins.target import Target
--- a/tests/builders.py
+++ b/tests/builders.py
@@ -1,10 +1,15 @@
 """Builders of test data: each gives something valid, changed where the test says so."""
+
 import asyncio
 import io
 import json
 import logging
 from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
+from heapq import heappop, heappush
+from random import Random
+from typing import Any
+
 from dunlinsaddle.access.configuration_lease import ConfigurationLease
 from dunlinsaddle.calls.call_state import PendingCall
 from dunlinsaddle.calls.messages import Call, Reply
@@ -23,10 +28,7 @@
 from dunlinsaddle.records.sync import RecordSync
 from dunlinsaddle.routes.config_follower import ConfigFollower
 from dunlinsaddle.settings import Address, Settings, read_settings
-from heapq import heappop, heappush
-from random import Random
 from tests.fakes.network import open_in_memory
-from typing import Any
 
 PEER_KEY = 'a-key-for-tests'
 OPERATOR_TOKEN = 'a-token-for-tests'
--- a/tests/test_mesh_daemon.py
+++ b/tests/test_mesh_daemon.py
@@ -1,12 +1,13 @@
-
 import json
 import tempfile
+from pathlib import Path
+
+from testtools import TestCase
+
 from dunlinsaddle.daemon import run_daemon
 from dunlinsaddle.mesh.daemon import load_settings, reload_settings
 from dunlinsaddle.mesh.node import MeshNode
-from pathlib import Path
 from tests.builders import build_environment, build_logger, build_node_file
-from testtools import TestCase
 
 
 class SettingsFileTest(TestCase):
--- a/tests/test_once.py
+++ b/tests/test_once.py
@@ -1,5 +1,6 @@
-
 import asyncio
+from typing import Any
+
 from dunlinsaddle.calls.call_state import PendingCall
 from dunlinsaddle.calls.handlers import CallerHandler
 from dunlinsaddle.calls.http import HttpRequest
@@ -11,8 +12,7 @@
 from dunlinsaddle.stats import Stats
 from tests.builders import build_member, build_record
 from tests.clock import PausedClockTest
-from tests.once_cluster import Cluster, NAMES, NodeProcess, SERVICE
-from typing import Any
+from tests.once_cluster import NAMES, SERVICE, Cluster, NodeProcess
 
 
 class EntryTest(PausedClockTest):
--- a/tests/test_replay.py
+++ b/tests/test_replay.py
@@ -1,13 +1,14 @@
-
 import json
+from pathlib import Path
+
+from fixtures import TempDir
+from testtools import TestCase
+
 from dunlinsaddle.cli.core import program
 from dunlinsaddle.exit_status import ExitStatus
 from dunlinsaddle.replay.run import replay
 from dunlinsaddle.replay.trace import TraceError, read_trace
-from fixtures import TempDir
-from pathlib import Path
 from tests.builders import build_environment, build_trace_lines
-from testtools import TestCase
 
 TRACES = Path(__file__).parent / 'traces'
 
--- a/tests/test_routes.py
+++ b/tests/test_routes.py
@@ -1,15 +1,16 @@
-
 import asyncio
+from random import Random
+
+from result import Err, Ok
+from testtools import TestCase
+
 from dunlinsaddle.platform.configuration import read_configuration
-from dunlinsaddle.platform.store import Unavailable, WATCH_GRACE_SECONDS
+from dunlinsaddle.platform.store import WATCH_GRACE_SECONDS, Unavailable
 from dunlinsaddle.routes.models import WeightedService
 from dunlinsaddle.routes.table import RouteTable, choose_service
-from random import Random
-from result import Err, Ok
 from tests.builders import build_configuration, build_route, running_follower
 from tests.clock import PausedClockTest
 from tests.fakes.store import FakeStore
-from testtools import TestCase
 
 
 class RouteTableTest(TestCase):
