--- a/dunlinsaddle/membership/__init__.py
+++ b/dunlinsaddle/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Which instances are there, as heard from the platform's rosters and from peers."""
+"""Discovery of instances and detection of their failure, by gossip and the platform's rosters."""
--- a/dunlinsaddle/membership/agent.py
+++ b/dunlinsaddle/membership/agent.py
@@ -1,4 +1,4 @@
-"""Runs the gossip state machine on the loop."""
+"""Runs the gossip protocol on the event loop and connects it to a transport."""
 
 import asyncio
 from collections.abc import Callable, Iterable
@@ -15,7 +15,7 @@
 
 @dataclass
 class GossipCounters:
-    """What gossip took on the wire; bytes without the headers of UDP and IP."""
+    """Counts gossip messages and their bytes, without UDP and IP headers."""
 
     sent: int = 0
     sent_bytes: int = 0
@@ -25,7 +25,7 @@
 
 
 class GossipAgent:
-    """One node's part in the gossip."""
+    """Sends and receives gossip messages for one node."""
 
     def __init__(
         self,
@@ -34,9 +34,9 @@
         rng: Random,
         seeds: Iterable[Address] = (),
         times: GossipTimes = GossipTimes(),  # noqa: B008
-        sizes: GossipLimits = GossipLimits(),  # noqa: B008
+        limits: GossipLimits = GossipLimits(),  # noqa: B008
     ) -> None:
-        self.gossip = GossipProtocol(view, rng, times, sizes)
+        self.gossip = GossipProtocol(view, rng, times, limits)
         self.gossip.sync_schedule.seeds.update(seeds)
         self.counters = GossipCounters()
         self.on_quota_message: Callable[[QuotaMessage], None] = lambda message: None
@@ -45,42 +45,42 @@
         self._transport: Transport
         self._started = False
 
-    async def listen(self, opener: TransportFactory, address: Address) -> Address:
-        """Start to listen; gives the address in use. Raises OSError when it is taken."""
-        self._transport = await opener(address, self._receive)
+    async def listen(self, open_transport: TransportFactory, address: Address) -> Address:
+        """Start listening and return the bound address. Raises OSError if it is in use."""
+        self._transport = await open_transport(address, self._receive)
         return self._transport.address
 
     def start(self, me: Member) -> None:
-        """Begin to take part, with the word on oneself."""
+        """Start to take part in the gossip as ``me``."""
         self.gossip.start(self._now(), me)
         self._started = True
 
     async def run(self) -> None:
-        """Tick until cancelled."""
+        """Run the periodic work of the protocol until cancelled."""
         while True:
             self._send(self.gossip.tick(self._now()))
             await asyncio.sleep(self.gossip.times.tick_interval)
 
     def announce(self, me: Member) -> None:
-        """Spread a changed word on oneself at once."""
+        """Publish a change of this node's own member entry immediately."""
         self.gossip.announce(me)
         self._send(self.gossip.send_rumors())
 
     def announce_configuration(self, version: int, members: Iterable[Member]) -> None:
-        """Tell others at once that this node holds a newer configuration."""
+        """Announce at once that this node holds a newer configuration."""
         self._send(self.gossip.announce_configuration(version, members))
 
     def send_level(self, level: float) -> None:
-        """Tell some others the level that the target beside this node admits."""
+        """Send the admission level of the local target to some other nodes."""
         self._send(self.gossip.send_level(level))
 
     def send(self, to: Address, message: AnyMessage) -> None:
-        """Send a message to one member, once this node takes part."""
+        """Send a message to one member, if this node has started."""
         if self._started:
             self._send([OutgoingMessage(to, message)])
 
     def leave(self) -> None:
-        """Say goodbye and stop."""
+        """Announce that this node leaves and close the transport."""
         if self._started:
             self._send(self.gossip.leave())
             self._started = False
@@ -97,8 +97,8 @@
         elif self._started:
             self._send(self.gossip.receive(self._now(), message))
 
-    def _send(self, sends: list[OutgoingMessage]) -> None:
-        for to, message in sends:
+    def _send(self, outgoing: list[OutgoingMessage]) -> None:
+        for to, message in outgoing:
             data = self._codec.encode(message)
             self.counters.sent += 1
             self.counters.sent_bytes += len(data)
--- a/dunlinsaddle/membership/digests.py
+++ b/dunlinsaddle/membership/digests.py
@@ -1,4 +1,4 @@
-"""Digests of a view, by which two nodes find where their views differ."""
+"""Digests of a membership view, compared by two nodes to find where their views differ."""
 
 import functools
 from collections.abc import Iterable
@@ -7,53 +7,55 @@
 
 from dunlinsaddle.membership.member import Member, State
 
-BUCKETS = 64  #: digests of 4 bytes each, so that a comparison takes one datagram
+BUCKETS = 64  #: 64 digests of 4 bytes each fit one datagram
 
 
 @functools.lru_cache(maxsize=8192)
 def bucket_of(instance: str) -> int:
-    """Give the bucket of an instance."""
+    """Return the bucket of an instance."""
     return xxh32_intdigest(instance.encode()) % BUCKETS
 
 
 class Digests:
-    """A number of 32 bits for each bucket of members, equal where two views are equal.
+    """Holds a 32-bit digest for each bucket of members, equal where two views are equal.
 
-    They are kept as members change. Worked out anew at each exchange, they took half of a
-    node's processor time among 194 nodes, since a young node begins two exchanges a second.
+    The digests are updated incrementally when a member changes. Computing them anew for each sync
+    took half of a node's CPU time in a fleet of 194 nodes, because a node that has just joined
+    starts two syncs per second.
     """
 
     def __init__(self) -> None:
-        self._numbers = [0] * BUCKETS
+        self._digests = [0] * BUCKETS
         self._members: list[dict[str, Member]] = [{} for _ in range(BUCKETS)]
 
     def replace(self, before: Member | None, member: Member) -> None:
-        """Take a new word on a member, in place of the one before."""
+        """Replace the entry of a member, None if it had none."""
         bucket = bucket_of(member.instance)
-        was = 0 if before is None else _number(before)
-        self._numbers[bucket] ^= was ^ _number(member)
+        old_digest = 0 if before is None else _member_digest(before)
+        self._digests[bucket] ^= old_digest ^ _member_digest(member)
         self._members[bucket][member.instance] = member
 
     def remove(self, member: Member) -> None:
-        """Leave out a member that is held no longer."""
+        """Remove a member."""
         bucket = bucket_of(member.instance)
-        self._numbers[bucket] ^= _number(member)
+        self._digests[bucket] ^= _member_digest(member)
         del self._members[bucket][member.instance]
 
-    def numbers(self) -> list[int]:
-        """Give the digest of each bucket."""
-        return list(self._numbers)
+    def values(self) -> list[int]:
+        """Return the digest of each bucket."""
+        return list(self._digests)
 
     def members(self, bucket: int) -> Iterable[Member]:
-        """Give the members of one bucket, the dead too."""
+        """Return the members of one bucket, including dead ones."""
         return self._members[bucket].values()
 
 
-def _number(member: Member) -> int:
-    """Give what one member adds to the digest of its bucket.
+def _member_digest(member: Member) -> int:
+    """Return the contribution of one member to the digest of its bucket.
 
-    The dead add nothing, as each node concludes and forgets them at a time of its own; the
-    suspected count as alive, as suspicions come and go faster than views are compared.
+    Dead members contribute nothing, because each node declares and removes them at a different
+    time. Suspected members count as alive, because suspicions change more often than views are
+    compared.
     """
     if member.is_gone:
         return 0
--- a/dunlinsaddle/membership/liveness.py
+++ b/dunlinsaddle/membership/liveness.py
@@ -1,18 +1,18 @@
-"""Whether the target beside a node is still there."""
+"""Liveness check of the local target, based on its announcements."""
 
 import asyncio
 from enum import Enum
 
 from dunlinsaddle.settings import Address
 
-LATE_AFTER_SECONDS = 2.2  #: seconds of silence; announcements come each second, and one may be lost
-GONE_AFTER_SECONDS = 6.0  #: seconds of silence after which one that used to repeat itself has gone
-MIN_REPEATS = 2  #: announcements in a row that show that a target repeats itself
-CONNECT_TIMEOUT_SECONDS = 1.0  #: seconds; a live target takes a connection within milliseconds
+LATE_AFTER_SECONDS = 2.2  #: announcements come every second, and one may be lost
+GONE_AFTER_SECONDS = 6.0  #: a target that announced itself periodically is gone after this
+MIN_REPEATS = 2  #: announcements in a row that show that a target announces periodically
+CONNECT_TIMEOUT_SECONDS = 1.0  #: a live target accepts a connection within milliseconds
 
 
 class HeartbeatStatus(Enum):
-    """What the time since the last announcement says."""
+    """Classifies the time since the last announcement of a target."""
 
     FRESH = 'fresh'
     LATE = 'late'
@@ -20,44 +20,47 @@
 
 
 class TargetMonitor:
-    """Judges a target by its announcements, which come every two seconds.
+    """Decides whether a target is gone from the announcements that it sends periodically.
 
-    One that is late may only be slow: it is gone when it also refuses connections. One that
-    accepts them and stays silent for three periods is frozen, and gone as well. That holds
-    only for a target that used to repeat itself: one that announced itself once and says no
-    more is as well as its port.
+    A late target may only be slow: it counts as gone if it also refuses connections. A target
+    that accepts connections but has sent no announcement for ``GONE_AFTER_SECONDS`` is frozen and
+    counts as gone, too. This applies only to a target that used to announce itself periodically:
+    one that announced itself only once is gone when its port refuses connections.
     """
 
     def __init__(self) -> None:
-        self._heard: float | None = None
-        self._repeats = 0
+        self._last_announcement: float | None = None
+        self._consecutive = 0
 
     def record_announcement(self, now: float) -> None:
-        """Note an announcement."""
-        if self._heard is not None and now - self._heard < GONE_AFTER_SECONDS:
-            self._repeats += 1
+        """Record an announcement."""
+        if (
+            self._last_announcement is not None
+            and now - self._last_announcement < GONE_AFTER_SECONDS
+        ):
+            self._consecutive += 1
         else:
-            self._repeats = 0
-        self._heard = now
+            self._consecutive = 0
+        self._last_announcement = now
 
     def heartbeat_status(self, now: float) -> HeartbeatStatus:
-        """Judge the silence; before the first announcement there is nothing to miss."""
-        silence = 0.0 if self._heard is None else now - self._heard
-        if silence >= GONE_AFTER_SECONDS and self._repeats >= MIN_REPEATS:
+        """Classify the time since the last announcement; FRESH before the first."""
+        silence = 0.0 if self._last_announcement is None else now - self._last_announcement
+        if silence >= GONE_AFTER_SECONDS and self._consecutive >= MIN_REPEATS:
             return HeartbeatStatus.GONE
         return HeartbeatStatus.LATE if silence >= LATE_AFTER_SECONDS else HeartbeatStatus.FRESH
 
     async def is_gone(self, now: float, address: Address) -> bool:
-        """Say whether the target has gone."""
+        """Return whether the target is gone."""
         match self.heartbeat_status(now):
             case HeartbeatStatus.FRESH:
                 return False
             case HeartbeatStatus.GONE:
                 return True
-        return await _refuses(address)
+        return await _refuses_connection(address)
 
 
-async def _refuses(address: Address) -> bool:
+async def _refuses_connection(address: Address) -> bool:
     try:
         async with asyncio.timeout(CONNECT_TIMEOUT_SECONDS):
             _, writer = await asyncio.open_connection(*address)
--- a/dunlinsaddle/membership/member.py
+++ b/dunlinsaddle/membership/member.py
@@ -1,4 +1,4 @@
-"""One instance as a node knows it."""
+"""Member entries of the gossip."""
 
 from enum import IntEnum
 from typing import NamedTuple
@@ -7,7 +7,7 @@
 
 
 class State(IntEnum):
-    """What is said of an instance. Within one incarnation a higher state goes first."""
+    """State of an instance. Within one incarnation the higher state takes precedence."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -17,11 +17,10 @@
 
 
 class Member(NamedTuple):
-    """One instance as it announced itself, and its state.
+    """An instance as it announced itself, and its state.
 
-    ``incarnation`` grows with each start of the instance, with each change of what it says of
-    itself, and when it denies a suspicion. ``service`` is empty while no target has announced
-    itself there.
+    ``incarnation`` increases with each start of the instance, with each change of its own entry,
+    and when it refutes a suspicion. ``service`` is empty while the instance has no target.
     """
 
     instance: str
@@ -34,10 +33,10 @@
 
     @property
     def is_serving(self) -> bool:
-        """Whether new work may be sent there."""
+        """Whether new requests may be sent to the instance."""
         return self.state in (State.ALIVE, State.SUSPECT) and bool(self.service)
 
     @property
     def is_gone(self) -> bool:
-        """Whether it is held to run no longer."""
+        """Whether the instance is known to have died or left."""
         return self.state in (State.DEAD, State.LEFT)
--- a/dunlinsaddle/membership/messages.py
+++ b/dunlinsaddle/membership/messages.py
@@ -1,4 +1,4 @@
-"""What nodes gossip, and how it is packed: MessagePack behind a keyed checksum."""
+"""Gossip messages and their encoding: MessagePack with a message authentication code."""
 
 import hashlib
 import hmac
@@ -12,17 +12,17 @@
 from dunlinsaddle.membership.view import Member, State
 from dunlinsaddle.settings import Address
 
-MAC_BYTES = 16  #: 128 bits: enough against a guess
-MAX_MESSAGE_BYTES = 1400  #: under the least packet size of usual networks, so nothing is fragmented
-SYNC_PAGE_BYTES = 1000  #: words in one message of a view's exchange
+MAC_BYTES = 16  #: 128 bits cannot be guessed
+MAX_MESSAGE_BYTES = 1400  #: below the smallest usual MTU, so that nothing is fragmented
+SYNC_PAGE_BYTES = 1000  #: member updates in one message of a sync
 MAC_PERSONALIZATION = b'dunlin-gossip'
-#: A bound against absurd numbers; the decoder refuses NaN, too, which would stay in every average.
+#: Rejects absurd values. The decoder also rejects NaN, which would never leave a moving average.
 MAX_LEVEL = 1e6
-MAX_WAIT_SECONDS = 60.0  #: seconds; a bound against absurd numbers
+MAX_WAIT_SECONDS = 60.0  #: rejects absurd values
 
 
 class Details(msgspec.Struct, array_like=True, frozen=True):
-    """What does not change between two announcements of an instance."""
+    """The fields of a member that change only when the instance announces itself."""
 
     domain: str
     service: str
@@ -31,11 +31,11 @@
 
 
 class MemberUpdate(msgspec.Struct, array_like=True, frozen=True):
-    """What the sender knows of one instance.
+    """State of one instance as the sender knows it.
 
     ``age`` is the time since the instance died or left, in seconds. An update without details is
-    about a third as long; it carries ``details_checksum`` instead, by which a receiver sees
-    whether it holds the same details.
+    about a third as long; it carries ``details_checksum`` instead, by which the receiver checks
+    whether it has the same details.
     """
 
     instance: str
@@ -47,9 +47,10 @@
 
 
 class Message(msgspec.Struct, array_like=True, tag=True, kw_only=True):
-    """What every message carries: who sends it, the address for answers, piggybacked words.
+    """Base of all messages.
 
-    ``news`` is the version of the newest configuration that the sender holds, 0 for none.
+    ``words`` are piggybacked updates of members. ``news`` is the version of the newest
+    configuration that the sender has, 0 for none.
     """
 
     sender: str
@@ -59,13 +60,13 @@
 
 
 class Ping(Message, tag='p'):
-    """Asks whether the receiver is alive. ``probe_id`` is random and comes back in the Ack."""
+    """Checks whether the receiver is alive. ``probe_id`` is random and returned in the Ack."""
 
     probe_id: int
 
 
 class Ack(Message, tag='a'):
-    """Says that the instance that was asked is alive."""
+    """Confirms that the probed instance is alive."""
 
     probe_id: int
 
@@ -78,34 +79,35 @@
 
 
 class Rumor(Message, tag='u'):
-    """Carries words and wants no answer."""
+    """Carries only updates and needs no reply."""
 
 
 class Sync(Message, tag='s'):
-    """Carries a digest for each bucket of the sender's view; ``is_reply`` stops the exchange."""
+    """Carries the digests of the sender's view. A message with ``is_reply`` gets no Sync back."""
 
     digests: list[int]
     is_reply: bool = False
 
 
 class LevelReport(Message, tag='l'):
-    """Tells the level that the target beside the sender admits of its service."""
+    """Reports the admission level of the sender's local target."""
 
     level: Annotated[float, Meta(ge=0, le=MAX_LEVEL)]
 
 
 class QuotaStatus(IntEnum):
-    """How a request stands with the quota of its organisation."""
+    """Result of a quota request."""
 
     GRANTED = 0
-    EXHAUSTED = 1  #: the quota is used up
-    NOT_LENDER = 2  #: the node that was asked does not lend this quota
+    EXHAUSTED = 1  #: try again later
+    NOT_LENDER = 2  #: the receiver does not lend tokens of this quota
 
 
 class QuotaRequest(Message, tag='qa'):
-    """Asks for one request's part of a quota; with no organisation only for a sign of life.
+    """Asks for one token of an organisation's quota; without organisation, checks liveness only.
 
-    ``relayed`` by a node that stands in: the one asked decides alone.
+    ``relayed`` is set by a node that forwards the request on behalf of another: the receiver
+    decides alone.
     """
 
     correlation_id: int
@@ -114,7 +116,7 @@
 
 
 class QuotaResponse(Message, tag='qr'):
-    """Answers a QuotaAsk. ``wait_seconds`` is the time in seconds until there is room."""
+    """Answers a QuotaRequest. ``wait_seconds`` is the time until a token is available."""
 
     correlation_id: int
     status: QuotaStatus
@@ -122,7 +124,7 @@
 
 
 class QuotaReturn(Message, tag='qg'):
-    """Gives one request's part back: it did not run."""
+    """Returns a token whose request did not run."""
 
     organisation: str
 
@@ -135,30 +137,30 @@
 
 
 def update_of(member: Member, *, full: bool = True, age: float = 0.0) -> MemberUpdate:
-    """Give the word on a member, with its details or with their checksum."""
+    """Return an update for a member, with its details or only their checksum."""
     details = details_of(member)
-    message_header = (member.instance, member.incarnation, member.state)
+    header = (member.instance, member.incarnation, member.state)
     if full:
-        return MemberUpdate(*message_header, details, int(age))
-    return MemberUpdate(*message_header, None, int(age), checksum_of(details))
+        return MemberUpdate(*header, details, int(age))
+    return MemberUpdate(*header, None, int(age), checksum_of(details))
 
 
 def details_of(member: Member) -> Details:
-    """Give the details of a member."""
+    """Return the details of a member."""
     return Details(member.domain, member.service, member.peers, member.gossip)
 
 
 def checksum_of(details: Details) -> int:
-    """Give the checksum of details, 32 bits."""
+    """Return the 32-bit checksum of details."""
     return xxhash.xxh32_intdigest(_encoder.encode(details))
 
 
-def member_of(word: MemberUpdate, details: Details) -> Member:
-    """Give the member that a word is about."""
+def member_of(update: MemberUpdate, details: Details) -> Member:
+    """Return the member that an update describes."""
     return Member(
-        word.instance,
-        word.incarnation,
-        word.state,
+        update.instance,
+        update.incarnation,
+        update.state,
         details.domain,
         details.service,
         details.peers,
@@ -166,24 +168,24 @@
     )
 
 
-def encoded_size(word: MemberUpdate) -> int:
-    """Give the bytes that a word takes in a message."""
-    return len(_encoder.encode(word))
+def encoded_size(update: MemberUpdate) -> int:
+    """Return the encoded size of an update in bytes."""
+    return len(_encoder.encode(update))
 
 
 class MessageCodec:
-    """Packs messages behind a checksum that needs the shared key, and opens only such."""
+    """Encodes messages with an authentication code of the shared key and verifies it."""
 
     def __init__(self, key: str) -> None:
         self._key = hashlib.blake2b(key.encode(), digest_size=32).digest()
 
     def encode(self, message: AnyMessage) -> bytes:
-        """Give the bytes to send."""
+        """Return the encoded message with its authentication code."""
         body = _encoder.encode(message)
         return self._mac(body) + body
 
     def decode(self, data: bytes) -> AnyMessage | None:
-        """Give the message; None for bytes that no holder of the key has sealed."""
+        """Return the message, or None if it is malformed or not authenticated with the key."""
         body = data[MAC_BYTES:]
         if len(data) > MAX_MESSAGE_BYTES or not hmac.compare_digest(
             data[:MAC_BYTES], self._mac(body)
@@ -200,8 +202,8 @@
         ).digest()
 
 
-def has_omitted_details(word: MemberUpdate, held: Member) -> bool:
-    """Whether the details that a word leaves out are those that are held."""
-    if word.incarnation == held.incarnation or word.state == State.LEFT:
+def has_omitted_details(update: MemberUpdate, current: Member) -> bool:
+    """Return whether the details that an update omits equal those of the current entry."""
+    if update.incarnation == current.incarnation or update.state == State.LEFT:
         return True
-    return word.details_checksum == checksum_of(details_of(held))
+    return update.details_checksum == checksum_of(details_of(current))
--- a/dunlinsaddle/membership/probing.py
+++ b/dunlinsaddle/membership/probing.py
@@ -1,4 +1,4 @@
-"""Whom a node probes next."""
+"""Pending probes, and the choice of the next instance to probe."""
 
 from random import Random
 from typing import NamedTuple
@@ -9,12 +9,12 @@
 from dunlinsaddle.membership.view import Member, MemberView
 from dunlinsaddle.settings import Address
 
-MAX_PRIORITY_PROBES = 8  #: instances that are probed out of turn: eight periods of one second
-MAX_RELAYED_PROBES = 1000  #: probes for others at a time: what they ask must not fill the memory
+MAX_PRIORITY_PROBES = 8  #: waiting out of turn; they take eight seconds
+MAX_RELAYED_PROBES = 1000  #: pending probes on behalf of others, which must not fill the memory
 
 
 class PendingProbe(NamedTuple):
-    """A probe without an answer yet."""
+    """A probe that was not answered yet."""
 
     instance: str
     incarnation: int
@@ -23,30 +23,30 @@
 
 
 class RelayedProbe(NamedTuple):
-    """A probe made for another node."""
+    """A probe sent on behalf of another node."""
 
     reply_to: Address
     probe_id: int
-    since: float
+    started_at: float
 
 
 class PendingProbes:
-    """The probes that are out, by the numbers that their answers bear."""
+    """Probes that wait for an answer, by the probe ID that the answer carries."""
 
     def __init__(self, rng: Random, times: GossipTimes) -> None:
         self.rng = rng
         self.times = times
-        self._outstanding: dict[int, PendingProbe] = {}
+        self._pending: dict[int, PendingProbe] = {}
         self._relayed: dict[int, RelayedProbe] = {}
 
     def start(self, now: float, target: Member) -> int:
-        """Note a probe of one's own; gives its probe_id."""
+        """Record a direct probe and return its ID."""
         probe_id = self.rng.getrandbits(48)
-        self._outstanding[probe_id] = PendingProbe(target.instance, target.incarnation, now)
+        self._pending[probe_id] = PendingProbe(target.instance, target.incarnation, now)
         return probe_id
 
     def start_relayed(self, now: float, reply_to: Address, requested_id: int) -> int | None:
-        """Note a probe for another node; None when there are too many."""
+        """Record a probe for another node and return its ID, or None if there are too many."""
         if len(self._relayed) > MAX_RELAYED_PROBES:
             return None
         probe_id = self.rng.getrandbits(48)
@@ -54,43 +54,44 @@
         return probe_id
 
     def pop(self, probe_id: int) -> tuple[PendingProbe | None, RelayedProbe | None]:
-        """Take out what a probe_id stands for."""
-        return self._outstanding.pop(probe_id, None), self._relayed.pop(probe_id, None)
+        """Remove and return the direct and the relayed probe with this ID."""
+        return self._pending.pop(probe_id, None), self._relayed.pop(probe_id, None)
 
     def pop_timed_out(self, now: float) -> list[PendingProbe]:
-        """Take out the probes that nobody has answered, neither directly nor through others."""
-        limit = self.times.direct_timeout + self.times.indirect_timeout
+        """Remove and return the probes that got neither a direct nor an indirect answer in time."""
+        timeout = self.times.direct_timeout + self.times.indirect_timeout
         for probe_id, relayed in list(self._relayed.items()):
-            if now - relayed.since > limit:
+            if now - relayed.started_at > timeout:
                 del self._relayed[probe_id]
-        late = {n: p for n, p in self._outstanding.items() if now - p.sent_at >= limit}
-        for probe_id in late:
-            del self._outstanding[probe_id]
-        return list(late.values())
+        timed_out = {n: p for n, p in self._pending.items() if now - p.sent_at >= timeout}
+        for probe_id in timed_out:
+            del self._pending[probe_id]
+        return list(timed_out.values())
 
     def start_indirect(self, now: float) -> list[tuple[int, PendingProbe]]:
-        """Give the probes without a direct answer that others are to be asked about, once."""
-        found = [
+        """Return, once each, the probes without a direct answer that other nodes should repeat."""
+        unanswered = [
             (probe_id, probe)
-            for probe_id, probe in self._outstanding.items()
+            for probe_id, probe in self._pending.items()
             if now - probe.sent_at >= self.times.direct_timeout and not probe.indirect_started
         ]
-        for probe_id, probe in found:
-            self._outstanding[probe_id] = probe._replace(indirect_started=True)
-        return found
+        for probe_id, probe in unanswered:
+            self._pending[probe_id] = probe._replace(indirect_started=True)
+        return unanswered
 
     def clear(self) -> None:
-        """Forget all that are out."""
-        self._outstanding.clear()
+        """Remove all probes."""
+        self._pending.clear()
         self._relayed.clear()
 
 
 class ProbeScheduler:
-    """Turns between the next in a ring of hashes and a shuffled round of all.
+    """Alternates between the successor on a hash ring and a shuffled round over all members.
 
-    Random probes alone find a death in one period on average, but one in eight takes more
-    than two. In the ring every instance has one that probes it each second turn, which
-    bounds the wait; the shuffled round covers for a prober that died at the same time.
+    Random probes alone detect a death within one period on average, but one death in eight takes
+    more than two periods. On the ring each instance has one node that probes it every second
+    period, which bounds the detection time. The shuffled round detects deaths whose ring
+    predecessor died at the same time.
     """
 
     def __init__(self, rng: Random) -> None:
@@ -106,12 +107,12 @@
         return len(self._live)
 
     def prioritize(self, instance: str) -> None:
-        """Probe an instance before all others, at one of the next turns."""
+        """Probe an instance ahead of the regular order."""
         if instance not in self._priority and len(self._priority) < MAX_PRIORITY_PROBES:
             self._priority.append(instance)
 
     def next_target(self, view: MemberView, me: Member) -> Member | None:
-        """Give the member to probe now; None while there is no other."""
+        """Return the member to probe now, or None if there is no other member."""
         while self._priority:
             member = view.find(self._priority.pop(0))
             if member is not None and not member.is_gone:
@@ -127,14 +128,14 @@
         return self._ring_successor
 
     def sample(self, view: MemberView, me: Member, count: int, exclude: str) -> list[Member]:
-        """Give up to ``count`` live members at random."""
+        """Return up to ``count`` random live members other than ``me`` and ``exclude``."""
         live = self._live_members(view, me)
         if exclude:
             live = [m for m in live if m.instance != exclude]
         return self.rng.sample(live, min(count, len(live)))
 
     def _live_members(self, view: MemberView, me: Member) -> list[Member]:
-        # Asked several times a second: a walk over a thousand members holds up the calls.
+        # Cached: it runs several times per second, and scanning a thousand members delays requests.
         if view.version != self._version:
             self._live = [m for m in view.members() if not m.is_gone and m.instance != me.instance]
             self._version = view.version
@@ -156,5 +157,5 @@
 
 
 def _successor(live: list[Member], me: Member) -> Member:
-    mine = _ring_position(me.instance)
-    return min(live, key=lambda m: (_ring_position(m.instance) - mine) % (1 << 64))
+    own_position = _ring_position(me.instance)
+    return min(live, key=lambda m: (_ring_position(m.instance) - own_position) % (1 << 64))
--- a/dunlinsaddle/membership/protocol.py
+++ b/dunlinsaddle/membership/protocol.py
@@ -1,7 +1,7 @@
-"""The gossip state machine: probes, suspicion, refutation. No sockets and no clock of its own.
+"""State machine of the SWIM gossip protocol: probes, suspicion, refutation and sync.
 
-Time is handed in with every call; what is to be sent comes back. Ways weighed and figures:
-docs/design/membership.md.
+It has no sockets and no clock: each call takes the current time and returns the messages to send.
+Alternatives and measurements: docs/design/membership.md.
 """
 
 import math
@@ -32,50 +32,51 @@
 from dunlinsaddle.membership.view import Member, MemberView, State
 from dunlinsaddle.settings import Address
 
-MAX_INCARNATION_STEP = (
-    1 << 40
-)  #: how far beyond our own an incarnation may be that we answer by going past it
-RETURN_PROBE_COUNT = 30  #: of the whole fleet, when one who was held dead comes back
+#: Larger increments of this node's incarnation by others are ignored, see ``_refute``.
+MAX_INCARNATION_STEP = 1 << 40
+RETURN_PROBE_COUNT = 30  #: probes of the whole fleet, on average, to a member that was dead
 
 
 class OutgoingMessage(NamedTuple):
-    """A message to be sent."""
+    """A message and its destination."""
 
     to: Address
     message: AnyMessage
 
 
 class GossipProtocol:
-    """What one node knows of the others, and what it sends to find out more."""
+    """The protocol state of one node."""
 
     def __init__(
         self,
         view: MemberView,
         rng: Random,
         times: GossipTimes = GossipTimes(),  # noqa: B008
-        sizes: GossipLimits = GossipLimits(),  # noqa: B008
+        limits: GossipLimits = GossipLimits(),  # noqa: B008
     ) -> None:
         self.view = view
         self.rng = rng
         self.times = times
-        self.sizes = sizes
+        self.limits = limits
         self.me: Member
-        self.news = 0  #: version of the newest configuration held here; each message tells it
+        self.configuration_version = (
+            0  #: of the newest configuration of this node; sent with each message
+        )
         self.on_configuration_version: Callable[[Member, int], None] = lambda member, version: None
-        #: Is told the service and the level that one of its targets admits.
+        #: Called with a service and the admission level of one of its targets.
         self.on_level: Callable[[str, float], None] = lambda service, level: None
-        self.sync_schedule = SyncSchedule(rng, times, sizes)
-        self.rumors = RumorQueue(sizes.extra_transmissions)
-        self.budget = ByteBudget(sizes.bytes_per_second, sizes.burst_bytes)
+        self.sync_schedule = SyncSchedule(rng, times, limits)
+        self.rumors = RumorQueue(limits.extra_transmissions)
+        self.budget = ByteBudget(limits.bytes_per_second, limits.burst_bytes)
         self.probe_scheduler = ProbeScheduler(rng)
         self.suspicions = SuspicionTimers(times)
         self.tombstones = Tombstones(view, times.tombstone_ttl)
         self.pending_probes = PendingProbes(rng, times)
-        self.sync_responder = SyncResponder(view, rng, self.budget, self.tombstones, sizes)
+        self.sync_responder = SyncResponder(view, rng, self.budget, self.tombstones, limits)
         self._probe_at = self._dead_probe_at = self._last_tick = 0.0
 
     def start(self, now: float, me: Member) -> None:
-        """Begin with the word on oneself."""
+        """Add this node to its own view and start the timers."""
         self.me = me
         self._last_tick = now
         self._probe_at = now + self.rng.random() * self.times.probe_interval
@@ -86,11 +87,11 @@
         self.rumors.add(update_of(me))
 
     def request_sync(self, now: float, addresses: Iterable[Address]) -> None:
-        """Compare views soon with those at these addresses."""
+        """Sync soon with the nodes at these addresses."""
         self.sync_schedule.add_contacts(now, {*addresses} - {self.me.gossip})
 
     def announce(self, me: Member) -> None:
-        """Spread a changed word on oneself, under a new incarnation."""
+        """Publish a change of this node's own entry under a new incarnation."""
         if me._replace(incarnation=self.me.incarnation) == self.me:
             return
         self.me = me._replace(incarnation=self.me.incarnation + 1)
@@ -98,39 +99,39 @@
         self.rumors.add(update_of(self.me))
 
     def leave(self) -> list[OutgoingMessage]:
-        """Say goodbye to a few, who pass it on."""
+        """Return messages that tell a few members that this node leaves; they spread it."""
         self.announce(self.me._replace(state=State.LEFT))
-        peers = self._random_members(self.sizes.indirect_probes + self.sizes.rumor_fanout)
+        peers = self._random_members(self.limits.indirect_probes + self.limits.rumor_fanout)
         return [OutgoingMessage(m.gossip, self._build_rumor([update_of(self.me)])) for m in peers]
 
     def tick(self, now: float) -> list[OutgoingMessage]:
-        """Do what is due."""
+        """Perform all periodic work that is due."""
         self.budget.refill(now)
         self._recover_from_stall(now)
         self._last_tick = now
-        sends = self._expire_probes(now)
+        outgoing = self._expire_probes(now)
         self._expire_suspicions(now)
         if now >= self._probe_at:
             self._probe_at = now + self.times.probe_interval
-            sends += self._probe(now)
+            outgoing += self._probe(now)
         if now >= self._dead_probe_at:
             self._dead_probe_at = now + self.times.dead_probe_interval
-            sends += self._probe_dead(now)
+            outgoing += self._probe_dead(now)
         if now >= self.sync_schedule.next_at:
-            sends += self._start_sync(now)
-        return sends + self.send_rumors()
+            outgoing += self._start_sync(now)
+        return outgoing + self.send_rumors()
 
     def receive(self, now: float, message: AnyMessage) -> list[OutgoingMessage]:
-        """Take a message that was opened with the shared key."""
+        """Process an authenticated message and return the messages to send."""
         if message.sender == self.me.instance and message.reply_to == self.me.gossip:
             return []
         if self.view.find(message.sender) is None:
-            # A node that restarted while the platform is out knows nobody. Its peers still
-            # ping its address: whoever does can tell it of all the others.
+            # A node that restarts during a platform outage knows no other node. Its peers still
+            # ping its address, and a sync with the sender returns all other members.
             self.request_sync(now, [message.reply_to])
-        for word in message.words:
-            self._apply_update(now, word)
-        if message.news > self.news:
+        for update in message.words:
+            self._apply_update(now, update)
+        if message.news > self.configuration_version:
             self._receive_configuration_version(message)
         match message:
             case Ping(probe_id=probe_id):
@@ -150,18 +151,19 @@
     def announce_configuration(
         self, version: int, members: Iterable[Member] = ()
     ) -> list[OutgoingMessage]:
-        """Tell a newer version to a few others at random, and to ``members``."""
-        self.news = version
-        told = {*self._random_members(self.sizes.configuration_fanout), *members}
-        return [OutgoingMessage(m.gossip, self._build_rumor([])) for m in told]
+        """Announce a newer configuration to a few random members and to ``members``."""
+        self.configuration_version = version
+        recipients = {*self._random_members(self.limits.configuration_fanout), *members}
+        return [OutgoingMessage(m.gossip, self._build_rumor([])) for m in recipients]
 
     def send_level(self, level: float) -> list[OutgoingMessage]:
-        """Tell the level that the target beside this node admits to some others at random.
+        """Report the admission level of the local target to random members.
 
-        To so many that each member hears twice a round: by chance some hear nothing in one.
+        There are as many recipients as it takes for each member to receive two reports of the
+        service per round on average, because some receive none in a round by chance.
         """
         targets = max(len(self.view.serving_members(self.me.service)), 1)
-        count = min(math.ceil(2 * len(self.view) / targets), self.sizes.max_level_fanout)
+        count = min(math.ceil(2 * len(self.view) / targets), self.limits.max_level_fanout)
         return [
             OutgoingMessage(m.gossip, LevelReport(**self._message_header([]), level=level))
             for m in self._random_members(count)
@@ -177,34 +179,40 @@
         if sender is not None:
             self.on_configuration_version(sender, message.news)
 
-    def _apply_update(self, now: float, word: MemberUpdate) -> None:
-        if word.instance == self.me.instance:
-            self._refute(word)
+    def _apply_update(self, now: float, update: MemberUpdate) -> None:
+        if update.instance == self.me.instance:
+            self._refute(update)
             return
-        held = self.view.find(word.instance)
-        if held is None:
-            self._add_member(now, word)
+        current = self.view.find(update.instance)
+        if current is None:
+            self._add_member(now, update)
             return
-        if (word.incarnation, word.state) <= (held.incarnation, held.state):
+        if (update.incarnation, update.state) <= (current.incarnation, current.state):
             return
-        if word.state == State.DEAD and not held.is_gone and word.incarnation == held.incarnation:
-            # Death is concluded by each node for itself, from a suspicion that nobody denied.
-            # Were it taken from others, the first words after a cut has healed would kill
-            # the living in the views of their own failure domain.
-            self.probe_scheduler.prioritize(word.instance)
+        if (
+            update.state == State.DEAD
+            and not current.is_gone
+            and update.incarnation == current.incarnation
+        ):
+            # Each node declares a death itself, after a suspicion that was not refuted. If it
+            # accepted this from others, the first updates after a partition heals would mark
+            # live members as dead in the views of their own failure domain.
+            self.probe_scheduler.prioritize(update.instance)
             return
-        details = word.details
-        if details is None and has_omitted_details(word, held):
-            details = details_of(held)
+        details = update.details
+        if details is None and has_omitted_details(update, current):
+            details = details_of(current)
         if details is not None:
-            self._merge(now, member_of(word, details), word.age)
+            self._merge(now, member_of(update, details), update.age)
 
-    def _add_member(self, now: float, word: MemberUpdate) -> None:
-        if word.details is None or self.tombstones.is_outdated(word.instance, word.incarnation):
+    def _add_member(self, now: float, update: MemberUpdate) -> None:
+        if update.details is None or self.tombstones.is_outdated(
+            update.instance, update.incarnation
+        ):
             return
-        if word.age >= self.times.tombstone_ttl:
+        if update.age >= self.times.tombstone_ttl:
             return
-        self._merge(now, member_of(word, word.details), word.age)
+        self._merge(now, member_of(update, update.details), update.age)
 
     def _merge(self, now: float, member: Member, age: int = 0) -> None:
         before = self.view.find(member.instance)
@@ -219,63 +227,65 @@
         if member.is_gone:
             self.tombstones.add(now - age, member.instance)
         if member.state != State.DEAD:
-            known = before is not None and details_of(before) == details_of(member)
-            self.rumors.add(update_of(member, full=not known))
+            details_known = before is not None and details_of(before) == details_of(member)
+            self.rumors.add(update_of(member, full=not details_known))
 
     def _probe_returned(self, returned: Member) -> None:
-        """Probe one who was held dead, in the hope of hearing what it holds of us."""
-        # After a cut it may hold us dead as well, and only one of its side can tell us. When a
-        # single one returns, a few of the whole fleet ask; when a failure domain does, each
-        # asks a few of its members.
+        """Probe a member that was considered dead, to learn what it believes of this node."""
+        # After a partition it may consider this node dead as well, and only a node of its side
+        # can report that. If a single member returns, a few nodes of the whole fleet probe it; if
+        # a failure domain returns, each node probes a few of its members.
         if self.rng.random() * (len(self.probe_scheduler) + 1) < RETURN_PROBE_COUNT:
             self.probe_scheduler.prioritize(returned.instance)
 
-    def _refute(self, word: MemberUpdate) -> None:
-        mine = (self.me.incarnation, self.me.state)
-        if (word.incarnation, word.state) <= mine or self.me.state == State.LEFT:
+    def _refute(self, update: MemberUpdate) -> None:
+        own = (self.me.incarnation, self.me.state)
+        if (update.incarnation, update.state) <= own or self.me.state == State.LEFT:
             return
-        # An older self whose clock ran ahead, or a suspicion: both end with a higher probe_id.
-        # Without the bound one absurd probe_id would leave no higher one to answer with.
-        if word.incarnation - self.me.incarnation > MAX_INCARNATION_STEP:
+        # Either a former run of this node had a clock that was ahead, or others suspect it. A
+        # higher incarnation resolves both. Without the limit, one absurd incarnation would leave
+        # no higher one to refute with.
+        if update.incarnation - self.me.incarnation > MAX_INCARNATION_STEP:
             return
-        # Words without details suffice for those who know us, and after a cut all refute at once.
-        restarted = word.incarnation > self.me.incarnation
-        self.me = self.me._replace(incarnation=word.incarnation + 1)
+        # Members that know this node need no details, which saves bytes when all members refute
+        # at once after a partition.
+        has_newer_incarnation = update.incarnation > self.me.incarnation
+        self.me = self.me._replace(incarnation=update.incarnation + 1)
         self.view.merge(self.me)
-        self.rumors.add(update_of(self.me, full=restarted))
+        self.rumors.add(update_of(self.me, full=has_newer_incarnation))
 
     def _probe(self, now: float) -> list[OutgoingMessage]:
         target = self.probe_scheduler.next_target(self.view, self.me)
         return [] if target is None else [self._ping(now, target)]
 
     def _probe_dead(self, now: float) -> list[OutgoingMessage]:
-        """Ping one of the dead: after a cut this is how the sides find each other again.
+        """Ping a dead member, so that the sides of a partition find each other after it heals.
 
-        One that said goodbye may start again at its address while the platform, which would
-        show it the others, is out; so it is asked for a while, too.
+        A member that left is pinged for a while, too: it may restart at its address during an
+        outage of the platform, from which it would otherwise learn of the other members.
         """
-        gone = [m for m in self.tombstones.members() if self._may_return(now, m)]
-        return [self._ping(now, self.rng.choice(gone))] if gone else []
+        candidates = [m for m in self.tombstones.members() if self._may_return(now, m)]
+        return [self._ping(now, self.rng.choice(candidates))] if candidates else []
 
     def _may_return(self, now: float, member: Member) -> bool:
-        left_for = self.tombstones.age(now, member.instance)
-        return member.state == State.DEAD or left_for < self.times.left_probe_period
+        gone_seconds = self.tombstones.age(now, member.instance)
+        return member.state == State.DEAD or gone_seconds < self.times.left_probe_period
 
     def _ping(self, now: float, target: Member) -> OutgoingMessage:
         probe_id = self.pending_probes.start(now, target)
-        words = self._next_updates()
+        updates = self._next_updates()
         if target.state in (State.SUSPECT, State.DEAD):
-            # The target learns what is said of it, and can deny it.
-            words = [update_of(target, full=False), *words]
+            # The target learns its state in this view and can refute it.
+            updates = [update_of(target, full=False), *updates]
         return OutgoingMessage(
-            target.gossip, Ping(**self._message_header(words), probe_id=probe_id)
+            target.gossip, Ping(**self._message_header(updates), probe_id=probe_id)
         )
 
     def _receive_ack(self, ack: Ack) -> list[OutgoingMessage]:
         probe, relayed = self.pending_probes.pop(ack.probe_id)
-        held = self.view.find(probe.instance) if probe else None
-        if held is not None and held.state == State.DRAINING:
-            self.suspicions.remove(held.instance)
+        current = self.view.find(probe.instance) if probe else None
+        if current is not None and current.state == State.DRAINING:
+            self.suspicions.remove(current.instance)
         if relayed is None:
             return []
         return [
@@ -294,64 +304,64 @@
     def _expire_probes(self, now: float) -> list[OutgoingMessage]:
         for probe in self.pending_probes.pop_timed_out(now):
             self._suspect(now, probe)
-        overdue = self.pending_probes.start_indirect(now)
+        unanswered = self.pending_probes.start_indirect(now)
         return [
-            send
-            for probe_id, probe in overdue
-            for send in self._request_indirect_probes(probe_id, probe)
+            message
+            for probe_id, probe in unanswered
+            for message in self._request_indirect_probes(probe_id, probe)
         ]
 
     def _request_indirect_probes(self, probe_id: int, probe: PendingProbe) -> list[OutgoingMessage]:
-        held = self.view.find(probe.instance)
-        if held is None or held.is_gone:
+        current = self.view.find(probe.instance)
+        if current is None or current.is_gone:
             return []
-        others = self._random_members(self.sizes.indirect_probes, probe.instance)
+        peers = self._random_members(self.limits.indirect_probes, probe.instance)
         return [
             OutgoingMessage(
                 m.gossip,
                 PingRequest(**self._message_header(), probe_id=probe_id, target=probe.instance),
             )
-            for m in others
+            for m in peers
         ]
 
     def _suspect(self, now: float, probe: PendingProbe) -> None:
-        held = self.view.find(probe.instance)
-        if held is None or held.incarnation != probe.incarnation:
+        current = self.view.find(probe.instance)
+        if current is None or current.incarnation != probe.incarnation:
             return
-        if held.state == State.ALIVE:
-            self._merge(now, held._replace(state=State.SUSPECT))
-        elif held.state == State.DRAINING:
-            self.suspicions.start(now, held.instance)
+        if current.state == State.ALIVE:
+            self._merge(now, current._replace(state=State.SUSPECT))
+        elif current.state == State.DRAINING:
+            self.suspicions.start(now, current.instance)
 
     def _recover_from_stall(self, now: float) -> None:
-        """Start all waits anew after a pause of our own."""
-        # A paused process wakes to probes that were all answered while it slept, and would
-        # suspect and then bury the whole fleet.
+        """Restart all timeouts after this process was paused."""
+        # The answers to its probes arrived during the pause and were not processed; without this
+        # the node would suspect the whole fleet and declare it dead.
         if now - self._last_tick <= self.times.stall_threshold:
             return
         self.pending_probes.clear()
         self.suspicions.restart_all(now)
-        # Denials that were spread meanwhile will not be sent again: ask what was missed.
+        # Refutations that were spread meanwhile are not sent again; a sync fetches them.
         self.sync_schedule.schedule_join(now)
 
     def _expire_suspicions(self, now: float) -> None:
         for instance in self.suspicions.pop_expired(now):
-            # Passed on after a cut has healed, the suspicion would start all over again.
+            # If it were spread after a partition heals, the suspicion would start again.
             self.rumors.remove(instance)
-            held = self.view.find(instance)
-            if held is not None:
-                self._merge(now, held._replace(state=State.DEAD))
+            current = self.view.find(instance)
+            if current is not None:
+                self._merge(now, current._replace(state=State.DEAD))
         self.tombstones.expire(now)
 
     def _start_sync(self, now: float) -> list[OutgoingMessage]:
-        others = [m.gossip for m in self._random_members(self.sync_schedule.peer_count)]
+        peers = [m.gossip for m in self._random_members(self.sync_schedule.peer_count)]
         return [
             OutgoingMessage(to, self._build_sync())
-            for to in self.sync_schedule.next_peers(now, self.me.gossip, others)
+            for to in self.sync_schedule.next_peers(now, self.me.gossip, peers)
         ]
 
     def _build_sync(self, *, is_reply: bool = False) -> Sync:
-        digests = self.view.digests.numbers()
+        digests = self.view.digests.values()
         return Sync(
             **self._message_header([update_of(self.me)]), digests=digests, is_reply=is_reply
         )
@@ -361,47 +371,47 @@
         if not differing:
             return []
         pages = self.sync_responder.build_pages(now, differing)
-        sends = [self._reply(sync, self._build_rumor(page)) for page in pages]
+        outgoing = [self._reply(sync, self._build_rumor(page)) for page in pages]
         if not sync.is_reply:
-            sends.append(self._reply(sync, self._build_sync(is_reply=True)))
+            outgoing.append(self._reply(sync, self._build_sync(is_reply=True)))
         else:
             self.sync_schedule.resync_if_joining(now, len(differing))
-        return sends
+        return outgoing
 
     def send_rumors(self) -> list[OutgoingMessage]:
-        """Pass fresh words on without waiting for the next probe."""
-        sends: list[OutgoingMessage] = []
+        """Return messages with pending updates, without waiting for the next probe."""
+        outgoing: list[OutgoingMessage] = []
         if not len(self.rumors):
-            return sends
-        for member in self._random_members(self.sizes.rumor_fanout):
-            words = self._next_updates()
-            if words:
-                sends.append(OutgoingMessage(member.gossip, self._build_rumor(words)))
-        return sends
+            return outgoing
+        for member in self._random_members(self.limits.rumor_fanout):
+            updates = self._next_updates()
+            if updates:
+                outgoing.append(OutgoingMessage(member.gossip, self._build_rumor(updates)))
+        return outgoing
 
     def _next_updates(self) -> list[MemberUpdate]:
         return self.rumors.next_updates(
-            self.sizes.max_update_bytes, self.budget, len(self.probe_scheduler)
+            self.limits.max_update_bytes, self.budget, len(self.probe_scheduler)
         )
 
-    def _reply(self, message: AnyMessage, answer: AnyMessage) -> OutgoingMessage:
-        held = self.view.find(message.sender)
-        if held is not None and held.state != State.ALIVE:
-            # Whoever is thought dead while it talks has a right to hear it, and to deny it.
-            answer.words = [update_of(held, full=False), *answer.words]
-        return OutgoingMessage(message.reply_to, answer)
+    def _reply(self, message: AnyMessage, reply: AnyMessage) -> OutgoingMessage:
+        current = self.view.find(message.sender)
+        if current is not None and current.state != State.ALIVE:
+            # A sender that is not considered alive learns this and can refute it.
+            reply.words = [update_of(current, full=False), *reply.words]
+        return OutgoingMessage(message.reply_to, reply)
 
     def _random_members(self, count: int, exclude: str = '') -> list[Member]:
         return self.probe_scheduler.sample(self.view, self.me, count, exclude)
 
     def message_header(self) -> dict[str, Any]:
-        """Give the head of a message that carries no words."""
+        """Return the common fields of a message without updates."""
         return self._message_header([])
 
-    def _message_header(self, words: list[MemberUpdate] | None = None) -> dict[str, Any]:
-        words = self._next_updates() if words is None else words
+    def _message_header(self, updates: list[MemberUpdate] | None = None) -> dict[str, Any]:
+        updates = self._next_updates() if updates is None else updates
         header = {'sender': self.me.instance, 'reply_to': self.me.gossip}
-        return {**header, 'words': words, 'news': self.news}
+        return {**header, 'words': updates, 'news': self.configuration_version}
 
-    def _build_rumor(self, words: list[MemberUpdate]) -> Rumor:
-        return Rumor(**self._message_header(words))
+    def _build_rumor(self, updates: list[MemberUpdate]) -> Rumor:
+        return Rumor(**self._message_header(updates))
--- a/dunlinsaddle/membership/suspicion.py
+++ b/dunlinsaddle/membership/suspicion.py
@@ -1,36 +1,38 @@
-"""Members that gave no answer, and how long they have to deny that they are dead."""
+"""Timers of suspected members, which are declared dead unless they refute in time."""
 
 from dunlinsaddle.membership.tuning import GossipTimes
 
 
 class SuspicionTimers:
-    """Who is suspected, and since when."""
+    """Holds the suspected members and the start of each suspicion."""
 
     def __init__(self, times: GossipTimes) -> None:
         self.times = times
         self._since: dict[str, float] = {}
 
     def start(self, now: float, instance: str) -> None:
-        """Suspect a member, from now on if it was not suspected before."""
+        """Start the timer of a member, if it does not run yet."""
         self._since.setdefault(instance, now)
 
     def remove(self, instance: str) -> None:
-        """Suspect a member no longer."""
+        """Stop the timer of a member."""
         self._since.pop(instance, None)
 
     def restart_all(self, now: float) -> None:
-        """Give all of them their time once more."""
+        """Restart the timers of all suspected members."""
         self._since = dict.fromkeys(self._since, now)
 
     def pop_expired(self, now: float) -> list[str]:
-        """Take out those whose time is up.
+        """Remove and return the members whose timer has expired.
 
-        When many are suspected at once it is rather the network that has failed, and their
-        denials need time to get through the byte budget.
+        The timeout grows with the number of suspected members: if there are many, the network has
+        probably failed, and their refutations take longer to get through the byte budget.
         """
-        patience = self.times.suspicion_timeout + len(self._since) * self.times.suspicion_per_member
-        limit = min(patience, self.times.max_suspicion_timeout)
-        found = [instance for instance, since in self._since.items() if now - since >= limit]
-        for instance in found:
+        timeout = self.times.suspicion_timeout + len(self._since) * self.times.suspicion_per_member
+        bounded_timeout = min(timeout, self.times.max_suspicion_timeout)
+        expired = [
+            instance for instance, since in self._since.items() if now - since >= bounded_timeout
+        ]
+        for instance in expired:
             del self._since[instance]
-        return found
+        return expired
--- a/dunlinsaddle/membership/tombstones.py
+++ b/dunlinsaddle/membership/tombstones.py
@@ -1,51 +1,54 @@
-"""Members that have gone: since when, and the numbers that old words on them must exceed."""
+"""Tombstones of members that died or left."""
 
 from dunlinsaddle.membership.view import Member, MemberView
 
 
 class Tombstones:
-    """Holds the gone for ``ttl`` seconds, and their numbers as long again."""
+    """Keeps members that died or left for ``ttl`` seconds, then their incarnations as long again.
+
+    The incarnation of a removed member prevents an outdated update from adding it again.
+    """
 
     def __init__(self, view: MemberView, ttl: float) -> None:
         self.view = view
         self.ttl = ttl
         self._since: dict[str, float] = {}
-        self._floors: dict[str, tuple[int, float]] = {}
+        self._last_incarnations: dict[str, tuple[int, float]] = {}
 
     def add(self, since: float, instance: str) -> None:
-        """Note that a member has gone."""
+        """Record that a member died or left at ``since``."""
         self._since[instance] = since
 
     def remove(self, instance: str) -> None:
-        """Note that a member is there again."""
+        """Record that a member is alive again."""
         self._since.pop(instance, None)
 
     def age(self, now: float, instance: str) -> float:
-        """Give for how many seconds a member has been gone; 0 for one that is there."""
+        """Return for how many seconds a member has been gone, 0 for a live member."""
         return now - self._since.get(instance, now)
 
     def members(self) -> list[Member]:
-        """Give the gone that are still held."""
+        """Return the dead and departed members that are still in the view."""
         return [m for m in map(self.view.find, self._since) if m]
 
     def is_outdated(self, instance: str, incarnation: int) -> bool:
-        """Whether a word is on a run of a member that was forgotten already."""
-        floor = self._floors.get(instance)
-        return floor is not None and incarnation <= floor[0]
+        """Return whether an incarnation belongs to a member that was already removed."""
+        last = self._last_incarnations.get(instance)
+        return last is not None and incarnation <= last[0]
 
     def expire(self, now: float) -> None:
-        """Drop who has been gone for long, and numbers that no word comes for any more."""
+        """Remove expired members from the view, and expired incarnations."""
         for instance, since in list(self._since.items()):
             if now - since >= self.ttl:
                 self._expire_member(now, instance)
-        for instance, (_, since) in list(self._floors.items()):
+        for instance, (_, since) in list(self._last_incarnations.items()):
             if now - since >= self.ttl:
-                del self._floors[instance]
+                del self._last_incarnations[instance]
 
     def _expire_member(self, now: float, instance: str) -> None:
-        """Drop a member, but remember its number: an old delta must not bring it back."""
-        held = self.view.find(instance)
+        """Remove a member, but keep its incarnation: an old update must not add it again."""
+        member = self.view.find(instance)
         del self._since[instance]
-        if held is not None:
-            self._floors[instance] = (held.incarnation, now)
+        if member is not None:
+            self._last_incarnations[instance] = (member.incarnation, now)
             self.view.remove(instance)
--- a/dunlinsaddle/membership/transport.py
+++ b/dunlinsaddle/membership/transport.py
@@ -1,4 +1,4 @@
-"""How gossip messages travel: datagrams, one message each.
+"""Datagram transport of gossip messages, one message per datagram.
 
 Why UDP and not pynng: docs/design/membership.md.
 """
@@ -13,12 +13,12 @@
 
 
 class Transport(Protocol):
-    """Sends single messages that may get lost."""
+    """Sends single messages without a delivery guarantee."""
 
-    address: Address  #: where this node is reached
+    address: Address  #: the address that this node listens on
 
     def send(self, to: Address, data: bytes) -> None:
-        """Send and forget."""
+        """Send without waiting for delivery."""
 
     def close(self) -> None:
         """Stop listening."""
@@ -28,7 +28,7 @@
 
 
 class UdpTransport(asyncio.DatagramProtocol):
-    """Datagrams through one socket."""
+    """Sends and receives datagrams through one UDP socket."""
 
     def __init__(self, receiver: DatagramHandler) -> None:
         self.receiver = receiver
@@ -36,21 +36,21 @@
         self._transport: asyncio.DatagramTransport
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the socket's transport."""
-        # asyncio's own datagram transport is no subclass of DatagramTransport in 3.11.
+        """Store the transport and the bound address."""
+        # In Python 3.11 asyncio's datagram transport is not a subclass of DatagramTransport.
         self._transport = cast(asyncio.DatagramTransport, transport)
         host, port = transport.get_extra_info('sockname')[:2]
         self.address = Address(host, port)
 
     def datagram_received(self, data: bytes, addr: object) -> None:
-        """Hand one message on."""
+        """Pass a received message to the handler."""
         self.receiver(data)
 
     def error_received(self, exc: Exception) -> None:
-        """Leave a refused datagram to the probes, which notice who is gone."""
+        """Ignore the error: probes detect unreachable nodes."""
 
     def send(self, to: Address, data: bytes) -> None:
-        """Send and forget."""
+        """Send without waiting for delivery."""
         if not self._transport.is_closing():
             self._transport.sendto(data, to)
 
@@ -60,7 +60,7 @@
 
 
 async def open_udp(address: Address, receiver: DatagramHandler) -> Transport:
-    """Listen on an address. Raises OSError when it is taken."""
+    """Listen on a UDP address. Raises OSError if it is in use."""
     loop = asyncio.get_running_loop()
     _, protocol = await loop.create_datagram_endpoint(
         lambda: UdpTransport(receiver), local_addr=address
--- a/dunlinsaddle/membership/tuning.py
+++ b/dunlinsaddle/membership/tuning.py
@@ -1,10 +1,10 @@
-"""Periods, counts and byte bounds of the gossip."""
+"""Intervals, timeouts and limits of the gossip protocol."""
 
 from typing import NamedTuple
 
 
 class GossipTimes(NamedTuple):
-    """Periods and bounds, in seconds."""
+    """Intervals and timeouts, in seconds."""
 
     tick_interval: float = 0.25
     probe_interval: float = 1.0
@@ -15,16 +15,16 @@
     max_suspicion_timeout: float = 60.0
     sync_interval: float = 10.0
     join_sync_interval: float = 0.5
-    young_sync_interval: float = 3.0  #: the same while little of the view differs
+    young_sync_interval: float = 3.0  #: instead, while few buckets differ
     join_period: float = 60.0
     dead_probe_interval: float = 5.0
-    left_probe_period: float = 60.0  #: for so long one that said goodbye is asked as well
+    left_probe_period: float = 60.0  #: a member that left is probed for this long, too
     tombstone_ttl: float = 3600.0
     stall_threshold: float = 1.0
 
 
 class GossipLimits(NamedTuple):
-    """Counts and bytes."""
+    """Numbers of nodes and messages, and sizes in bytes."""
 
     indirect_probes: int = 3
     rumor_fanout: int = 2
@@ -34,12 +34,11 @@
     burst_bytes: int = 1500
     max_sync_pages: int = 6
     join_sync_fanout: int = 6
-    join_threshold_buckets: int = (
-        40  #: buckets of 64 from which a view differs in so much that others are missing
-    )
-    #: Members that hear of a newer configuration at once from each who takes it; with four, 98 in
-    #: 100 hear of it within some round trips, and the pings of the next second tell the others.
+    join_threshold_buckets: int = 40  #: of 64; with this many differing, members are missing
+    #: Members to which each node announces a newer configuration when it receives it. With four,
+    #: 98 of 100 nodes learn of it within a few round trips, the others from pings within a second.
     configuration_fanout: int = 4
-    #: Members that one node tells its target's level at most: 128 messages a second of 100 bytes
-    #: are twice what control may take for good, and an overload lasts some seconds.
+    #: Largest number of recipients of a level report. At the limit a node sends 128 messages of
+    #: 100 bytes per second, twice the permanent budget of control traffic, but an overload lasts
+    #: only some seconds.
     max_level_fanout: int = 32
--- a/dunlinsaddle/membership/view.py
+++ b/dunlinsaddle/membership/view.py
@@ -1,4 +1,4 @@
-"""The instances that a node knows of, merged from what it hears in any order."""
+"""The membership view of a node, merged from updates that arrive in any order."""
 
 from collections.abc import Callable, Iterable
 
@@ -7,11 +7,13 @@
 
 __all__ = ['Member', 'MemberView', 'OnChange', 'State']
 
-OnChange = Callable[[Member | None, Member], None]  #: the word before, if any, and the new one
+OnChange = Callable[
+    [Member | None, Member], None
+]  #: receives the previous entry, if any, and the new one
 
 
 class MemberView:
-    """The newest word on each instance. ``version`` grows with each change of any of them."""
+    """Holds the newest entry of each instance. ``version`` increases with each change."""
 
     def __init__(self, on_change: OnChange = lambda before, now: None) -> None:
         self._on_change = on_change
@@ -21,54 +23,55 @@
         self._serving: dict[str, list[Member]] = {}
 
     def merge(self, member: Member) -> bool:
-        """Take a word on an instance if it is newer; say whether it was."""
-        held = self._members.get(member.instance)
-        if held is not None and _order(held) >= _order(member):
+        """Apply an entry if it is newer than the current one; return whether it was."""
+        current = self._members.get(member.instance)
+        if current is not None and _precedence(current) >= _precedence(member):
             return False
         self._members[member.instance] = member
-        self.digests.replace(held, member)
-        # Only of the services that it concerns: members change all the time among hundreds.
+        self.digests.replace(current, member)
+        # Invalidates only the services concerned: among hundreds of members some always change.
         self._serving.pop(member.service, None)
-        if held is not None:
-            self._serving.pop(held.service, None)
+        if current is not None:
+            self._serving.pop(current.service, None)
         self.version += 1
-        self._on_change(held, member)
+        self._on_change(current, member)
         return True
 
     def __len__(self) -> int:
         return len(self._members)
 
     def find(self, instance: str) -> Member | None:
-        """Give the newest word on one instance."""
+        """Return the newest entry of an instance, or None."""
         return self._members.get(instance)
 
     def serving_members(self, service: str) -> list[Member]:
-        """Give the instances whose targets may be given work of a service.
+        """Return the instances whose targets accept requests of a service.
 
-        Suspected ones only where no other is left: after a cut all of a service may be
-        suspected at once, and a call that may fail is better than a certain refusal.
+        Suspected instances are returned only if no other is left: after a network partition all
+        instances of a service may be suspected, and a request that may fail is better than a
+        certain rejection.
         """
-        # Asked once a call: a scan of all members at each would grow with the fleet.
-        held = self._serving.get(service)
-        if held is None:
-            able = [m for m in self._members.values() if m.service == service and m.is_serving]
-            held = [m for m in able if m.state == State.ALIVE] or able
-            self._serving[service] = held
-        return held
+        # Cached, because this runs for each request and a scan would grow with the fleet.
+        current = self._serving.get(service)
+        if current is None:
+            available = [m for m in self._members.values() if m.service == service and m.is_serving]
+            current = [m for m in available if m.state == State.ALIVE] or available
+            self._serving[service] = current
+        return current
 
     def members(self) -> Iterable[Member]:
-        """Give all, the dead too."""
+        """Return all members, including dead ones."""
         return self._members.values()
 
     def remove(self, instance: str) -> None:
-        """Forget an instance that has long gone."""
-        held = self._members.pop(instance, None)
-        if held is None:
+        """Remove an instance."""
+        current = self._members.pop(instance, None)
+        if current is None:
             return
-        self.digests.remove(held)
-        self._serving.pop(held.service, None)
+        self.digests.remove(current)
+        self._serving.pop(current.service, None)
         self.version += 1
 
 
-def _order(member: Member) -> tuple[int, int]:
+def _precedence(member: Member) -> tuple[int, int]:
     return (member.incarnation, member.state)
--- a/tests/fakes/network.py
+++ b/tests/fakes/network.py
@@ -105,7 +105,7 @@
         for node in self.nodes.values():
             for me in mes:
                 node.view.merge(me)
-            node.rumors = type(node.rumors)(node.sizes.extra_transmissions)
+            node.rumors = type(node.rumors)(node.limits.extra_transmissions)
 
     def kill(self, name: str) -> None:
         del self.nodes[name]
@@ -156,8 +156,8 @@
         assert message is not None
         self.send(name, node.receive(self.now, message))
 
-    def send(self, sender: str, sends: list[OutgoingMessage]) -> None:
-        for to, message in sends:
+    def send(self, sender: str, outgoing: list[OutgoingMessage]) -> None:
+        for to, message in outgoing:
             data = self._codec.encode(message)
             self.sent[sender] += 1
             self.sent_bytes[sender] += len(data)
--- a/tests/test_at_size.py
+++ b/tests/test_at_size.py
@@ -27,7 +27,7 @@
             net.add_nodes(size)
             one, other = net.nodes['n000'], net.nodes['n001']
             sync = Sync(
-                sender='n001', reply_to=other.me.gossip, digests=other.view.digests.numbers()
+                sender='n001', reply_to=other.me.gossip, digests=other.view.digests.values()
             )
             counted = mock.Mock(side_effect=xxhash.xxh32_intdigest)
             with mock.patch.object(digests, 'xxh32_intdigest', counted):
@@ -50,7 +50,7 @@
         fresh = Digests()
         for member in view.members():
             fresh.replace(None, member)
-        self.assertEqual(fresh.numbers(), view.digests.numbers())
+        self.assertEqual(fresh.values(), view.digests.values())
         held = {m.instance for bucket in range(BUCKETS) for m in view.digests.members(bucket)}
         self.assertEqual({m.instance for m in view.members()}, held)
 
@@ -60,11 +60,11 @@
         for member in (alive, suspected):
             found = Digests()
             found.replace(None, member)
-            numbers[member.state] = found.numbers()
+            numbers[member.state] = found.values()
         self.assertEqual(numbers[State.ALIVE], numbers[State.SUSPECT])
         gone = Digests()
         gone.replace(None, build_member('a', state=State.DEAD))
-        self.assertEqual([0] * BUCKETS, gone.numbers())
+        self.assertEqual([0] * BUCKETS, gone.values())
         self.assertIn(bucket_of('a'), range(BUCKETS))
 
 
