--- a/dunlinsaddle/key_ownership/__init__.py
+++ b/dunlinsaddle/key_ownership/__init__.py
@@ -1,1 +1,1 @@
-"""Who may run which idempotency keys: kept in the platform, ahead of need."""
+"""Who may run which idempotency keys: kept in the platform, ahead of their use."""
--- a/dunlinsaddle/key_ownership/claims.py
+++ b/dunlinsaddle/key_ownership/claims.py
@@ -1,4 +1,4 @@
-"""Claims of opaque keys: one object of the platform for each, created if absent."""
+"""Claims of opaque idempotency keys: one stored object per key, created only if absent."""
 
 from collections.abc import Callable
 from typing import NamedTuple
@@ -14,7 +14,7 @@
 
 
 class Claim(NamedTuple):
-    """Who may run an opaque key, and when it was claimed, in Unix milliseconds."""
+    """The owner of an opaque key and the time of its claim in Unix milliseconds."""
 
     owner: Owner
     birth: int
@@ -23,16 +23,17 @@
 async def claim_key(
     store: ObjectStore, service: str, key: OpaqueKey, me: Owner, clock: Callable[[], int]
 ) -> Claim | None:
-    """Claim a key, or say who did; None while the platform cannot tell.
+    """Claim a key and return its claim, which may be another owner's; None if it is unknown.
 
-    A lost answer is settled by reading. What is read as ours is ours for good; where nothing
-    can be read, the key must not be run, for another node may have claimed it.
+    If the answer to the write is lost, the claim is read back. A claim of this node that was read
+    is permanent. If nothing can be read, the key must not run, because another node may have
+    claimed it.
     """
     name = f'{service}.{key.object_name}'
-    wanted = Claim(me, clock())
-    match await store.put(CLAIM_KIND, name, msgspec.to_builtins(wanted), ABSENT):
+    claim = Claim(me, clock())
+    match await store.put(CLAIM_KIND, name, msgspec.to_builtins(claim), ABSENT):
         case Ok(_):
-            return wanted
+            return claim
         case Err(Conflict(current)):
             return _claim_of(current)
     match await store.get(CLAIM_KIND, name):
--- a/dunlinsaddle/key_ownership/local_ranges.py
+++ b/dunlinsaddle/key_ownership/local_ranges.py
@@ -1,4 +1,4 @@
-"""Keeps the ranges of whatever service the local target serves now."""
+"""Periodic update of the key ranges of the local target's service."""
 
 import asyncio
 from collections.abc import Callable
@@ -7,20 +7,18 @@
 from dunlinsaddle.key_ownership.range_manager import RangeManager
 from dunlinsaddle.membership.view import MemberView
 
-CHECK_INTERVAL_SECONDS = (
-    0.5  #: seconds between two looks; a target serves another service at a restart only
-)
+CHECK_INTERVAL_SECONDS = 0.5  #: a target changes its service only when it restarts
 
 
 class LocalService(NamedTuple):
-    """What the local target serves: an empty service while there is none."""
+    """The service of the local target, empty if there is no target."""
 
     service: str
     leaving: bool
 
 
 class LocalRangeUpdater:
-    """Looks twice a second whether something is due; most looks cost no platform call."""
+    """Checks twice per second whether ranges need work; most checks make no platform call."""
 
     def __init__(
         self, manager: RangeManager, view: MemberView, served: Callable[[], LocalService]
@@ -31,16 +29,16 @@
         self._last_service = ''
 
     async def run(self) -> None:
-        """Keep the ranges until cancelled."""
+        """Update the ranges until cancelled."""
         while True:
             await self.update()
             await asyncio.sleep(CHECK_INTERVAL_SECONDS)
 
     async def update(self) -> None:
-        """Do what is due now."""
+        """Do the work that is due now."""
         served = self.served()
         if self._last_service not in ('', served.service):
-            # The target has died or serves something else: its ranges go to others.
+            # The target has died or serves another service: hand its ranges over.
             former, self._last_service = self._last_service, ''
             await self.manager.tick(former, self._serving(former), leaving=True)
         if not served.service:
--- a/dunlinsaddle/key_ownership/range_manager.py
+++ b/dunlinsaddle/key_ownership/range_manager.py
@@ -1,4 +1,4 @@
-"""Keeps this node's ranges in the platform, and a copy of the maps of other services."""
+"""Ownership of key ranges: this node's ranges, and cached range maps of other services."""
 
 import asyncio
 from collections.abc import Callable, Sequence
@@ -25,7 +25,7 @@
 RANGE_MAP_KIND = 'ranges'
 REREAD_SECONDS = 60.0
 NEWCOMER_REREAD_SECONDS = 5.0
-RETRY_PAUSE_SECONDS = (5.0, 10.0)  #: after an attempt that the platform did not answer
+RETRY_PAUSE_SECONDS = (5.0, 10.0)  #: random pause after a failed read or write
 OUTAGE_MEMORY_SECONDS = 1.0
 MAX_WRITE_ATTEMPTS = 4
 
@@ -33,14 +33,14 @@
 class _CachedMap(NamedTuple):
     version: int
     map: RangeMap
-    read_at: float  #: the loop's clock
+    read_at: float  #: by the event loop's clock
 
 
 class OwnedRanges(NamedTuple):
-    """What this node owns of a service.
+    """The ranges of a service that this node owns.
 
-    ``until`` is the earliest end of its ranges, Unix milliseconds; ``platform_age`` the seconds
-    since the platform last answered the keeper. None where there is nothing to tell.
+    ``until`` is the earliest end of these ranges in Unix milliseconds. ``platform_age`` is the time
+    in seconds since the store last answered. Both are None if unknown.
     """
 
     ranges: int
@@ -49,42 +49,42 @@
 
 
 class _Fence(NamedTuple):
-    """An own interval that a write of uncertain end may have closed at ``cut``."""
+    """An interval of this node that a write with unknown outcome may have ended at ``cut``."""
 
     cut: int
-    version: int  #: the version on whose condition that write was sent
+    version: int  #: the expected version of that conditional write
 
 
 class MonotonicWallClock:
-    """Unix time in milliseconds that never jumps: read once, then moved on by the loop's clock.
+    """Unix time in milliseconds that never jumps: read once, then advanced by the loop's clock.
 
-    A step of the wall clock would make ranges end early or keys expire; it costs a restart at
-    most this way.
+    Otherwise a step of the wall clock would end ranges early or make keys expire. This way, a step
+    takes effect only at a restart.
     """
 
     def __init__(self, wall_clock: Callable[[], float]) -> None:
         self.wall_clock = wall_clock
-        self._began: float | None = None
+        self._started_at: float | None = None
         self._wall = 0.0
 
     def now(self) -> int:
-        """Give the time in Unix milliseconds."""
+        """Return the time in Unix milliseconds."""
         return int((self._offset() + asyncio.get_running_loop().time()) * 1000)
 
     def loop_epoch(self) -> int:
-        """Give the time at zero of the loop's clock, in Unix milliseconds."""
+        """Return the Unix time in milliseconds at which the loop's clock was zero."""
         return int(self._offset() * 1000)
 
     def _offset(self) -> float:
-        if self._began is None:
-            self._began, self._wall = asyncio.get_running_loop().time(), self.wall_clock()
-        return self._wall - self._began
+        if self._started_at is None:
+            self._started_at, self._wall = asyncio.get_running_loop().time(), self.wall_clock()
+        return self._wall - self._started_at
 
 
 class RangeManager:
-    """Claims, extends and hands over ranges by conditional writes, ahead of need.
+    """Claims, extends and hands over ranges in advance, by conditional writes.
 
-    No call of a caller waits for the platform while the map held here covers its key.
+    No request waits for the platform while the cached range map covers its key.
     """
 
     def __init__(
@@ -100,7 +100,7 @@
         self.clock = clock
         self.rng = rng
         self.horizon = horizon  #: ms
-        self.listener: ListenerIdentity | None = None  #: set once this run listens for its peers
+        self.listener: ListenerIdentity | None = None  #: set when the peer listener is open
         self.closed = False
         self.reads = 0
         self.writes = 0
@@ -108,37 +108,37 @@
         self._newest_accepted: dict[str, dict[int, int]] = {}
         self._fences: dict[tuple[str, int], _Fence] = {}
         self._locks: dict[str, asyncio.Lock] = {}
-        self._read_numbers: dict[str, int] = {}
+        self._read_counts: dict[str, int] = {}
         self._read_attempt_at: dict[str, float] = {}
         self._paused_until = 0.0
         self._read_failed_at = -OUTAGE_MEMORY_SECONDS
 
     def range_map_of(self, service: str) -> RangeMap | None:
-        """Give the map held of a service; None where none was ever read."""
-        held = self._cached.get(service)
-        return held.map if held else None
+        """Return the cached range map of a service, or None if none was read."""
+        cached = self._cached.get(service)
+        return cached.map if cached else None
 
     def owned_ranges(self, service: str) -> OwnedRanges:
-        """Give what this node owns of a service now, by the map held."""
-        held = self._cached.get(service)
-        if held is None:
+        """Return the ranges of a service that this node owns by the cached map."""
+        cached = self._cached.get(service)
+        if cached is None:
             return OwnedRanges(0, None, None)
-        rows = [row[-1] for row in held.map.ranges if row and row[-1].owner == self.me]
-        age = asyncio.get_running_loop().time() - held.read_at
+        rows = [row[-1] for row in cached.map.ranges if row and row[-1].owner == self.me]
+        age = asyncio.get_running_loop().time() - cached.read_at
         return OwnedRanges(len(rows), min((i.until for i in rows), default=None), age)
 
     def find(self, service: str, key: TimestampedKey) -> Interval | None:
-        """Give the interval that a key is in, by the map held."""
-        held = self._cached.get(service)
-        return held.map.find(range_number(service, key), key.birth) if held else None
+        """Return the interval that contains a key, by the cached map."""
+        cached = self._cached.get(service)
+        return cached.map.find(range_number(service, key), key.birth) if cached else None
 
     def later_intervals(self, service: str, key: TimestampedKey) -> Sequence[Interval]:
-        """Give the intervals that follow the one that a key is in, by the map held."""
-        held = self._cached.get(service)
-        return held.map.later_intervals(range_number(service, key), key.birth) if held else ()
+        """Return the intervals that follow the one that contains a key, by the cached map."""
+        cached = self._cached.get(service)
+        return cached.map.later_intervals(range_number(service, key), key.birth) if cached else ()
 
     def try_accept(self, service: str, key: TimestampedKey) -> bool:
-        """Say whether this node may run a key; from a yes on, the range reaches behind it."""
+        """Return whether this node may run a key; if so, its range will not end before the key."""
         interval = self.find(service, key)
         if self.closed or interval is None or interval.owner != self.me:
             return False
@@ -146,54 +146,57 @@
         fence = self._fences.get((service, number))
         if fence is not None and key.birth >= fence.cut:
             return False
-        highest = self._newest_accepted.setdefault(service, {})
-        highest[number] = max(highest.get(number, 0), key.birth)
+        newest_births = self._newest_accepted.setdefault(service, {})
+        newest_births[number] = max(newest_births.get(number, 0), key.birth)
         return True
 
     def close(self) -> None:
-        """Accept no key any more, before the peers' port is let go.
+        """Accept no more keys. Call this before the port of the peer listener is released.
 
-        Whoever binds that port next takes it for the proof that this run accepts nothing: one
-        that is paused between the two and wakes later must find its right gone.
+        The next process that binds the port takes this as proof that this process accepts no keys.
+        This holds even if this process is paused after the release and resumes later.
         """
         self.closed = True
 
     def is_stale(self, service: str) -> bool:
-        """Say whether the map of a service is due to be read again."""
-        tried_at = self._read_attempt_at.get(service)
-        return tried_at is None or asyncio.get_running_loop().time() - tried_at > REREAD_SECONDS
+        """Return whether the map of a service must be read again."""
+        attempted_at = self._read_attempt_at.get(service)
+        return (
+            attempted_at is None
+            or asyncio.get_running_loop().time() - attempted_at > REREAD_SECONDS
+        )
 
     async def refresh(self, service: str) -> bool:
-        """Read a map anew; True when the answer to a read begun after this call came.
+        """Read a map again; return whether a read that started after this call succeeded.
 
-        Calls that come while one read is on its way share the next one: a read that began
-        earlier proves nothing about what was written since.
+        Calls made during a read share the next read, because a read that started earlier may miss
+        later writes.
         """
         loop = asyncio.get_running_loop()
         if loop.time() - self._read_failed_at < OUTAGE_MEMORY_SECONDS:
             return False
-        asked = self._read_numbers.get(service, 0)
+        reads_before = self._read_counts.get(service, 0)
         async with self._locks.setdefault(service, asyncio.Lock()):
-            if self._read_numbers.get(service, 0) > asked:
+            if self._read_counts.get(service, 0) > reads_before:
                 return loop.time() - self._read_failed_at >= OUTAGE_MEMORY_SECONDS
-            self._read_numbers[service] = asked + 1
+            self._read_counts[service] = reads_before + 1
             self._read_attempt_at[service] = loop.time()
             self.reads += 1
             match await self.store.get(RANGE_MAP_KIND, service):
-                case Ok(stored) if self._store_read(service, stored):
+                case Ok(stored) if self._cache_map(service, stored):
                     return True
             self._read_failed_at = loop.time()
             return False
 
     async def tick(self, service: str, serving: Sequence[str], *, leaving: bool = False) -> None:
-        """Do what is due for the ranges of the local target's service."""
+        """Do the work that is due for the ranges of the local target's service."""
         if asyncio.get_running_loop().time() < self._paused_until and not leaving:
             return
         if self._needs_read(service, serving) and not await self.refresh(service):
             self._pause()
             return
         for _ in range(MAX_WRITE_ATTEMPTS):
-            here = PlanContext(
+            context = PlanContext(
                 self.me,
                 serving,
                 self.clock(),
@@ -202,79 +205,80 @@
                 self.listener,
                 self.horizon,
             )
-            held = self._cached.get(service) or _CachedMap(ABSENT, RangeMap(), 0.0)
-            plan = plan_ranges(service, held.map, here)
+            cached = self._cached.get(service) or _CachedMap(ABSENT, RangeMap(), 0.0)
+            plan = plan_ranges(service, cached.map, context)
             if plan is None:
                 return
             for number, cut in plan.closing_times.items():
-                self._fence(service, number, _Fence(cut, held.version))
-            if await self._write(service, plan.range_map, held.version):
+                self._fence(service, number, _Fence(cut, cached.version))
+            if await self._write(service, plan.range_map, cached.version):
                 return
 
     def _needs_read(self, service: str, serving: Sequence[str]) -> bool:
-        held = self._cached.get(service)
-        if held is None or self.is_stale(service) or self._has_uncertain_write(service, held):
+        cached = self._cached.get(service)
+        if cached is None or self.is_stale(service) or self._has_uncertain_write(service, cached):
             return True
-        newcomers = any(name not in held.map.present_epochs for name in serving)
-        age = asyncio.get_running_loop().time() - held.read_at
+        newcomers = any(name not in cached.map.present_epochs for name in serving)
+        age = asyncio.get_running_loop().time() - cached.read_at
         return newcomers and age > NEWCOMER_REREAD_SECONDS
 
     def _fence(self, service: str, number: int, fence: _Fence) -> None:
-        """End the right to run newer keys, before the write that closes the range leaves.
+        """Stop accepting newer keys before the write that ends the interval is sent.
 
-        Were it to end with the answer, the heir could run a key while this node still takes
-        it. An earlier write of uncertain end may yet be the one that counts: the lower cut stays.
+        If this happened only after the answer, the next owner could run a key that this node still
+        accepts. An earlier write with unknown outcome may still take effect, so the lower cut is
+        kept.
         """
         earlier = self._fences.get((service, number))
         if earlier is None or fence.cut < earlier.cut:
             self._fences[service, number] = fence
 
-    def _has_uncertain_write(self, service: str, held: _CachedMap) -> bool:
+    def _has_uncertain_write(self, service: str, cached: _CachedMap) -> bool:
         return any(
-            fence.version >= held.version
+            fence.version >= cached.version
             for (name, _), fence in self._fences.items()
             if name == service
         )
 
-    async def _write(self, service: str, wanted: RangeMap, expected: int) -> bool:
-        """Write a map; False when another write came first and the plan must be made anew."""
+    async def _write(self, service: str, range_map: RangeMap, expected: int) -> bool:
+        """Write a map; return False on a conflict, after which the plan must be recomputed."""
         self.writes += 1
-        match await self.store.put(RANGE_MAP_KIND, service, encode_range_map(wanted), expected):
+        match await self.store.put(RANGE_MAP_KIND, service, encode_range_map(range_map), expected):
             case Ok(stored):
-                self._store_read(service, stored)
+                self._cache_map(service, stored)
                 return True
             case Err(Conflict(current)):
-                self._store_read(service, current)
+                self._cache_map(service, current)
                 return False
-        # The answer is lost: the write may have taken effect, or may still do so. Rights
-        # come only from a map that was read, and the fences stay until one newer than the
-        # write's condition was: from then on the platform turns that write down.
+        # The answer is lost: the write may have taken effect, or may still do so. Ownership
+        # results only from a map that was read. The fences stay until a map newer than the
+        # write's expected version is read: from then on the platform rejects that write.
         self._pause()
         await self.refresh(service)
         return True
 
     def _pause(self) -> None:
-        # All nodes meet the end of an outage at once; spread, they stay below its rates.
+        # Random, because all nodes retry after an outage and must stay below the rate limits.
         self._paused_until = asyncio.get_running_loop().time() + self.rng.uniform(
             *RETRY_PAUSE_SECONDS
         )
 
-    def _store_read(self, service: str, stored: StoredObject | None) -> bool:
-        """Take what was read; False where it says nothing of who owns what."""
+    def _cache_map(self, service: str, stored: StoredObject | None) -> bool:
+        """Cache a map that was read; return False if it does not tell the owners."""
         now = asyncio.get_running_loop().time()
-        held = self._cached.get(service) or _CachedMap(ABSENT, RangeMap(), now)
-        self._cached[service] = held._replace(read_at=now)
+        cached = self._cached.get(service) or _CachedMap(ABSENT, RangeMap(), now)
+        self._cached[service] = cached._replace(read_at=now)
         if stored is None:
-            return held.version == ABSENT
-        if stored.version <= held.version:
-            return stored.version == held.version
+            return cached.version == ABSENT
+        if stored.version <= cached.version:
+            return stored.version == cached.version
         try:
-            newer = decode_range_map(stored.value)
+            range_map = decode_range_map(stored.value)
         except (ValueError, msgspec.MsgspecError):
-            # Deleted or unreadable: starting afresh could overlap with what others hold.
+            # Deleted or invalid: an empty map could overlap with ranges that others own.
             return False
-        self._cached[service] = _CachedMap(stored.version, newer, now)
-        for place, fence in list(self._fences.items()):
-            if place[0] == service and fence.version < stored.version:
-                del self._fences[place]
+        self._cached[service] = _CachedMap(stored.version, range_map, now)
+        for fenced_range, fence in list(self._fences.items()):
+            if fenced_range[0] == service and fence.version < stored.version:
+                del self._fences[fenced_range]
         return True
--- a/dunlinsaddle/membership/coordinators.py
+++ b/dunlinsaddle/membership/coordinators.py
@@ -28,17 +28,17 @@
     def __init__(self, view: MemberView, domain: str) -> None:
         self.view = view
         self.domain = domain
-        self._view_version = -1
-        self._selected: list[Member] = []
+        self._version = -1
+        self._chosen: list[Member] = []
 
     def members(self) -> list[Member]:
         """Return the selected members."""
-        if self._view_version != self.view.version:
+        if self._version != self.view.version:
             live = rank_by_hash(self.view, self.domain)
             eligible = [m for m in live if m.state is State.ALIVE] or live
-            self._selected = eligible[:COORDINATORS_PER_DOMAIN]
-            self._view_version = self.view.version
-        return self._selected
+            self._chosen = eligible[:COORDINATORS_PER_DOMAIN]
+            self._version = self.view.version
+        return self._chosen
 
     def includes(self, instance: str) -> bool:
         """Return whether a node is one of the watchers."""
--- a/dunlinsaddle/membership/roster.py
+++ b/dunlinsaddle/membership/roster.py
@@ -1,43 +1,39 @@
-"""The platform's roster of a failure domain: where a fresh node finds the others.
+"""Rosters in the platform's store, from which a new node learns addresses of other nodes.
 
-A roster names a few instances, not all: gossip brings the rest. Only the few nodes that the
-rendezvous hash picks keep it, so the platform's calls do not grow with the fleet.
+There is one roster per failure domain. It lists only a few instances; gossip provides the others.
+Only the coordinators of the domain, selected by rendezvous hashing, maintain it, so the number of
+store calls does not grow with the fleet.
 """
-
 import asyncio
-from random import Random
-from typing import Any, NamedTuple, TypedDict
-
 import msgspec
-from result import Ok
-
 from dunlinsaddle.membership.coordinators import COORDINATORS_PER_DOMAIN, rank_by_hash
 from dunlinsaddle.membership.protocol import GossipProtocol
 from dunlinsaddle.membership.view import Member, State
 from dunlinsaddle.platform.store import ABSENT, ObjectStore
 from dunlinsaddle.settings import parse_address
+from random import Random
+from result import Ok
+from typing import Any, NamedTuple, TypedDict
 
 ROSTERS = 'rosters'
-MIN_LIVE_LISTED = 3  #: live members that a roster must list, for the same reason
-MAX_LISTED = 8  #: members that it lists: a fresh node needs one that answers
-INITIAL_PERIOD_SECONDS = (
-    0.5  #: seconds between the first passes of a node that is alone, doubled each time
-)
-#: Seconds from the first pass to the second of a node that knows others, and four times as long to
-#: each further one: domains that start at the same time find each other's rosters with it.
+MIN_LIVE_LISTED = 3  #: live members that a roster must list: one remains when any two are lost
+MAX_LISTED = 8  #: members that a roster lists; a new node needs one that answers
+INITIAL_PERIOD_SECONDS = 0.5  #: period of a node that knows no others, doubled with each pass
+#: Delay of the second pass of a node that knows others, quadrupled with each pass: domains that
+#: start at the same time discover each other's rosters this way.
 SECOND_PASS_SECONDS = 2.0
-#: Seconds between two passes later; 960 nodes in 3 domains read nine times in it.
+#: Longest period; a fleet of 960 nodes in 3 domains reads nine times within it.
 MAX_PERIOD_SECONDS = 30.0
-#: Seconds between two tries while the platform is out. Nodes that started in the outage know
-#: nobody; half of the two seconds in which they have to find each other once it returns.
+#: Retry period of a node that knows no others while the store is unavailable. Nodes that started
+#: during the outage must find each other within two seconds after it ends.
 OUTAGE_RETRY_SECONDS = 1.0
-#: Seconds over which keepers spread their pass after the store has returned from a copy: they see
-#: it at once, and a fresh node must find the others within two.
+#: Window over which the coordinators spread their pass after the store was restored from a backup.
+#: They all notice it at once, and a new node must find the others within two seconds.
 RESTORE_SPREAD_SECONDS = 1.0
 
 
 class RosterEntry(TypedDict):
-    """One instance in a roster."""
+    """A member as stored in a roster."""
 
     instance: str
     incarnation: int
@@ -49,14 +45,14 @@
 
 
 class StoredRoster(NamedTuple):
-    """A roster as the platform holds it."""
+    """A roster and its version in the store."""
 
     version: int
     members: list[Member]
 
 
 def roster_entry_of(member: Member) -> RosterEntry:
-    """Give the roster's form of a member."""
+    """Return the roster entry of a member."""
     return RosterEntry(
         instance=member.instance,
         incarnation=member.incarnation,
@@ -69,7 +65,7 @@
 
 
 def member_of_entry(raw: Any) -> Member | None:
-    """Read a roster entry; None where it cannot be read."""
+    """Return the member of a stored roster entry, or None if the entry is invalid."""
     try:
         entry = msgspec.convert(raw, RosterEntry)
         return Member(
@@ -86,24 +82,24 @@
 
 
 class RosterStore:
-    """Reads all rosters, and writes that of one failure domain."""
+    """Reads the rosters of all failure domains and writes that of one."""
 
     def __init__(self, store: ObjectStore, domain: str) -> None:
         self.store = store
         self.domain = domain
 
     async def read(self) -> dict[str, StoredRoster] | None:
-        """Give the roster of each failure domain; None while the platform is out."""
+        """Return the roster of each failure domain, or None if the store is unavailable."""
         match await self.store.list(ROSTERS):
             case Ok(listing):
                 return {o.name: StoredRoster(o.version, _members(o.value)) for o in listing.objects}
             case _:
                 return None
 
-    async def write(self, members: list[Member], held: StoredRoster | None) -> bool:
-        """Replace the roster that was read; say whether that is certain."""
+    async def write(self, members: list[Member], stored: StoredRoster | None) -> bool:
+        """Replace the roster that was read; return whether the write was confirmed."""
         value = {'members': [roster_entry_of(m) for m in members]}
-        expected = held.version if held else ABSENT
+        expected = stored.version if stored else ABSENT
         match await self.store.put(ROSTERS, self.domain, value, expected):
             case Ok(_):
                 return True
@@ -113,54 +109,55 @@
 
 def _members(value: Any) -> list[Member]:
     raw = value.get('members') if isinstance(value, dict) else None
-    found = map(member_of_entry, raw if isinstance(raw, list) else [])
-    return [m for m in found if m is not None]
+    members = map(member_of_entry, raw if isinstance(raw, list) else [])
+    return [m for m in members if m is not None]
 
 
 class Bootstrap:
-    """Finds the others through the platform, and keeps the roster if that falls to this node.
+    """Discovers other nodes through the rosters, and maintains the roster if this node coordinates.
 
-    A node that knows nobody is the keeper of its own small world: it reads at its start, and
-    stops as soon as gossip has shown it that others keep the roster.
+    A node that knows no others counts as a coordinator: it reads the rosters at its start, and
+    stops as soon as gossip shows that other nodes are the coordinators.
     """
 
     def __init__(self, roster: RosterStore, gossip: GossipProtocol, rng: Random) -> None:
         self.roster = roster
         self.gossip = gossip
         self.rng = rng
-        self._contacted: set[Member] = set()
-        self._asked_all = False
+        self._unconfirmed: set[Member] = set()
+        self._all_contacted = False
         self._refresh_requested = asyncio.Event()
 
     @property
     def is_settled(self) -> bool:
-        """Whether others are known, or all that are listed have had the time to answer.
+        """Whether other nodes are known, or all listed ones had time to answer.
 
-        Failure: a restarted node says that it is ready, and refuses what comes at once, for it
-        knows of no target yet: those listed are a ping away. A list of the dead holds it up for
-        one more pass.
+        Without this check, a restarted node reports ready before the listed nodes answer its first
+        message, and rejects requests because it knows no target yet. If all listed nodes are dead,
+        it becomes ready one pass later.
         """
-        return self._asked_all or not self._is_alone()
+        return self._all_contacted or not self._is_alone()
 
     @property
     def unconfirmed_count(self) -> int:
-        """How many are listed that were not known to be alive at the latest look."""
-        return len(self._contacted)
+        """Number of listed members that were not known to be alive in the latest pass."""
+        return len(self._unconfirmed)
 
     def refresh_soon(self) -> None:
-        """Pass again soon: the store lost what was written since the copy that it came from.
+        """Run the next pass soon, because the store was restored from a backup.
 
-        Failure: the copy holds no roster, or one of nodes that have gone. Who starts then finds
-        nobody, and refuses its callers until the next pass of a keeper, half a minute later.
+        The backup may contain no roster, or one that lists only nodes that are gone. A node that
+        starts then would find no others and reject its callers until a coordinator's next pass,
+        half a minute later.
         """
         self._refresh_requested.set()
 
     async def run(self) -> None:
-        """Pass until cancelled, soon at first and seldom later."""
+        """Run passes until cancelled, with increasing periods."""
         period = INITIAL_PERIOD_SECONDS
         while True:
-            answered = await self.run_pass()
-            if not answered and self._is_alone():
+            is_available = await self.run_pass()
+            if not is_available and self._is_alone():
                 await asyncio.sleep(OUTAGE_RETRY_SECONDS * self.rng.uniform(0.5, 1.0))
                 continue
             await self._pause(period * self.rng.uniform(0.5, 1.5))
@@ -181,13 +178,13 @@
         await asyncio.sleep(self.rng.uniform(0, RESTORE_SPREAD_SECONDS))
 
     def _is_alone(self) -> bool:
-        # Those who know others can wait; if all asked this often, they would hit a platform
-        # that has just come back as one.
+        # Nodes that know others need no fast retries: if all nodes retried this often, they would
+        # overload a store that has just recovered.
         view = self.gossip.view
         return not any(m for m in view.members() if m != self.gossip.me and not m.is_gone)
 
     async def run_pass(self) -> bool:
-        """Read and mend the roster, if it falls to this node; False while the platform is out."""
+        """Read and repair the roster if this node coordinates; False if the store is down."""
         view = self.gossip.view
         me = self.gossip.me
         if me not in rank_by_hash(view, me.domain)[:COORDINATORS_PER_DOMAIN]:
@@ -196,28 +193,28 @@
         if rosters is None:
             return False
         if not self._contact_unconfirmed(rosters):
-            self._asked_all = True
+            self._all_contacted = True
             await self._repair(rosters)
         return True
 
     async def _repair(self, rosters: dict[str, StoredRoster]) -> None:
         view = self.gossip.view
         me = self.gossip.me
-        held = rosters.get(me.domain)
+        stored = rosters.get(me.domain)
         live = rank_by_hash(view, me.domain)[:MAX_LISTED]
-        usable = [m for m in held.members if self._is_usable(m)] if held else []
+        usable = [m for m in stored.members if self._is_usable(m)] if stored else []
         if len(usable) < min(MIN_LIVE_LISTED, len(live)):
-            await self.roster.write(live, held)
+            await self.roster.write(live, stored)
 
     def _contact_unconfirmed(self, rosters: dict[str, StoredRoster]) -> bool:
-        """Call those who are not known to be alive; say whether one is called the first time."""
-        listed = {m for held in rosters.values() for m in held.members}
-        strangers = {m for m in listed if not self._is_usable(m)}
-        fresh = strangers - self._contacted
-        self._contacted = strangers
+        """Sync with listed members not known to be alive; return whether one is listed newly."""
+        listed = {m for stored in rosters.values() for m in stored.members}
+        unconfirmed = {m for m in listed if not self._is_usable(m)}
+        newly_listed = unconfirmed - self._unconfirmed
+        self._unconfirmed = unconfirmed
         now = asyncio.get_running_loop().time()
-        self.gossip.request_sync(now, [m.gossip for m in strangers])
-        return bool(fresh)
+        self.gossip.request_sync(now, [m.gossip for m in unconfirmed])
+        return bool(newly_listed)
 
     def _is_usable(self, listed: Member) -> bool:
         known = self.gossip.view.find(listed.instance)
--- a/dunlinsaddle/membership/suspicion.py
+++ b/dunlinsaddle/membership/suspicion.py
@@ -28,11 +28,9 @@
         The timeout grows with the number of suspected members: if there are many, the network has
         probably failed, and their refutations take longer to get through the byte budget.
         """
-        timeout = self.times.suspicion_timeout + len(self._since) * self.times.suspicion_per_member
-        bounded_timeout = min(timeout, self.times.max_suspicion_timeout)
-        expired = [
-            instance for instance, since in self._since.items() if now - since >= bounded_timeout
-        ]
-        for instance in expired:
+        patience = self.times.suspicion_timeout + len(self._since) * self.times.suspicion_per_member
+        limit = min(patience, self.times.max_suspicion_timeout)
+        found = [instance for instance, since in self._since.items() if now - since >= limit]
+        for instance in found:
             del self._since[instance]
-        return expired
+        return found
--- a/dunlinsaddle/membership/tombstones.py
+++ b/dunlinsaddle/membership/tombstones.py
@@ -6,14 +6,14 @@
 class Tombstones:
     """Keeps members that died or left for ``ttl`` seconds, then their incarnations as long again.
 
-    The incarnation of a removed member prevents an outdated update from adding it again.
+    That incarnation is the floor that an update must exceed to add a removed member again.
     """
 
     def __init__(self, view: MemberView, ttl: float) -> None:
         self.view = view
         self.ttl = ttl
         self._since: dict[str, float] = {}
-        self._last_incarnations: dict[str, tuple[int, float]] = {}
+        self._floors: dict[str, tuple[int, float]] = {}
 
     def add(self, since: float, instance: str) -> None:
         """Record that a member died or left at ``since``."""
@@ -33,22 +33,22 @@
 
     def is_outdated(self, instance: str, incarnation: int) -> bool:
         """Return whether an incarnation belongs to a member that was already removed."""
-        last = self._last_incarnations.get(instance)
-        return last is not None and incarnation <= last[0]
+        floor = self._floors.get(instance)
+        return floor is not None and incarnation <= floor[0]
 
     def expire(self, now: float) -> None:
         """Remove expired members from the view, and expired incarnations."""
         for instance, since in list(self._since.items()):
             if now - since >= self.ttl:
-                self._expire_member(now, instance)
-        for instance, (_, since) in list(self._last_incarnations.items()):
+                self._forget(now, instance)
+        for instance, (_, since) in list(self._floors.items()):
             if now - since >= self.ttl:
-                del self._last_incarnations[instance]
+                del self._floors[instance]
 
-    def _expire_member(self, now: float, instance: str) -> None:
+    def _forget(self, now: float, instance: str) -> None:
         """Remove a member, but keep its incarnation: an old update must not add it again."""
-        member = self.view.find(instance)
+        held = self.view.find(instance)
         del self._since[instance]
-        if member is not None:
-            self._last_incarnations[instance] = (member.incarnation, now)
+        if held is not None:
+            self._floors[instance] = (held.incarnation, now)
             self.view.remove(instance)
