--- a/dunlinsaddle/key_ownership/range_manager.py
+++ b/dunlinsaddle/key_ownership/range_manager.py
@@ -264,7 +264,7 @@
         )
 
     def _cache_map(self, service: str, stored: StoredObject | None) -> bool:
-        """Cache a map that was read; return False if it does not tell the owners."""
+        """Cache a map that was read; return False if it does not show who owns what."""
         now = asyncio.get_running_loop().time()
         cached = self._cached.get(service) or _CachedMap(ABSENT, RangeMap(), now)
         self._cached[service] = cached._replace(read_at=now)
--- a/dunlinsaddle/membership/messages.py
+++ b/dunlinsaddle/membership/messages.py
@@ -202,7 +202,7 @@
         ).digest()
 
 
-def has_omitted_details(update: MemberUpdate, current: Member) -> bool:
+def has_same_details(update: MemberUpdate, current: Member) -> bool:
     """Return whether the details that an update omits equal those of the current entry."""
     if update.incarnation == current.incarnation or update.state == State.LEFT:
         return True
--- a/dunlinsaddle/membership/probing.py
+++ b/dunlinsaddle/membership/probing.py
@@ -9,7 +9,7 @@
 from dunlinsaddle.membership.view import Member, MemberView
 from dunlinsaddle.settings import Address
 
-MAX_PRIORITY_PROBES = 8  #: waiting out of turn; they take eight seconds
+MAX_PRIORITY_PROBES = 8  #: probed ahead of the regular order; at one per second, eight seconds
 MAX_RELAYED_PROBES = 1000  #: pending probes on behalf of others, which must not fill the memory
 
 
--- a/dunlinsaddle/membership/protocol.py
+++ b/dunlinsaddle/membership/protocol.py
@@ -19,7 +19,7 @@
     Rumor,
     Sync,
     details_of,
-    has_omitted_details,
+    has_same_details,
     member_of,
     update_of,
 )
@@ -45,7 +45,7 @@
 
 
 class GossipProtocol:
-    """The protocol state of one node."""
+    """Runs the gossip protocol for one node."""
 
     def __init__(
         self,
@@ -59,9 +59,8 @@
         self.times = times
         self.limits = limits
         self.me: Member
-        self.configuration_version = (
-            0  #: of the newest configuration of this node; sent with each message
-        )
+        #: Version of the newest configuration of this node, sent with each message.
+        self.configuration_version = 0
         self.on_configuration_version: Callable[[Member, int], None] = lambda member, version: None
         #: Called with a service and the admission level of one of its targets.
         self.on_level: Callable[[str, float], None] = lambda service, level: None
@@ -99,7 +98,7 @@
         self.rumors.add(update_of(self.me))
 
     def leave(self) -> list[OutgoingMessage]:
-        """Return messages that tell a few members that this node leaves; they spread it."""
+        """Leave the group; return messages to a few members, which spread the update."""
         self.announce(self.me._replace(state=State.LEFT))
         peers = self._random_members(self.limits.indirect_probes + self.limits.rumor_fanout)
         return [OutgoingMessage(m.gossip, self._build_rumor([update_of(self.me)])) for m in peers]
@@ -200,7 +199,7 @@
             self.probe_scheduler.prioritize(update.instance)
             return
         details = update.details
-        if details is None and has_omitted_details(update, current):
+        if details is None and has_same_details(update, current):
             details = details_of(current)
         if details is not None:
             self._merge(now, member_of(update, details), update.age)
--- a/dunlinsaddle/membership/roster.py
+++ b/dunlinsaddle/membership/roster.py
@@ -24,8 +24,8 @@
 SECOND_PASS_SECONDS = 2.0
 #: Longest period; a fleet of 960 nodes in 3 domains reads nine times within it.
 MAX_PERIOD_SECONDS = 30.0
-#: Retry period of a node that knows no others while the store is unavailable. Nodes that started
-#: during the outage must find each other within two seconds after it ends.
+#: Retry period of a node that knows no others while the store is unavailable: half of the two
+#: seconds in which nodes that started during the outage must find each other after it ends.
 OUTAGE_RETRY_SECONDS = 1.0
 #: Window over which the coordinators spread their pass after the store was restored from a backup.
 #: They all notice it at once, and a new node must find the others within two seconds.
--- a/dunlinsaddle/membership/sync.py
+++ b/dunlinsaddle/membership/sync.py
@@ -100,7 +100,7 @@
             self._sync_with_several = True
             self.next_at = min(self.next_at, now + self.times.join_sync_interval)
         else:
-            self.next_at = min(self.next_at, now + self.times.young_sync_interval)
+            self.next_at = min(self.next_at, now + self.times.slow_join_sync_interval)
 
     def next_peers(self, now: float, me: Address, members: list[Address]) -> list[Address]:
         """Return the addresses to sync with now, and schedule the next round.
--- a/dunlinsaddle/membership/tuning.py
+++ b/dunlinsaddle/membership/tuning.py
@@ -11,25 +11,27 @@
     direct_timeout: float = 0.5
     indirect_timeout: float = 0.5
     suspicion_timeout: float = 5.0
-    suspicion_per_member: float = 0.1
+    suspicion_per_member: float = 0.1  #: added for each suspected member
     max_suspicion_timeout: float = 60.0
     sync_interval: float = 10.0
-    join_sync_interval: float = 0.5
-    young_sync_interval: float = 3.0  #: instead, while few buckets differ
+    join_sync_interval: float = 0.5  #: during ``join_period``, while many buckets differ
+    slow_join_sync_interval: float = 3.0  #: during ``join_period``, while few buckets differ
     join_period: float = 60.0
     dead_probe_interval: float = 5.0
     left_probe_period: float = 60.0  #: a member that left is probed for this long, too
     tombstone_ttl: float = 3600.0
-    stall_threshold: float = 1.0
+    stall_threshold: float = 1.0  #: a longer time between two ticks means that this node was paused
 
 
 class GossipLimits(NamedTuple):
     """Numbers of nodes and messages, and sizes in bytes."""
 
+    #: Nodes that repeat an unanswered probe; also the number of contacts that a sync adds to the
+    #: random members, and of recipients that a leave adds to ``rumor_fanout``.
     indirect_probes: int = 3
     rumor_fanout: int = 2
-    extra_transmissions: int = 5
-    max_update_bytes: int = 480
+    extra_transmissions: int = 5  #: of each update, in addition to log2 of the number of members
+    max_update_bytes: int = 480  #: of the updates in one message, except in a sync
     bytes_per_second: int = 2000
     burst_bytes: int = 1500
     max_sync_pages: int = 6
--- a/dunlinsaddle/membership/view.py
+++ b/dunlinsaddle/membership/view.py
@@ -7,9 +7,8 @@
 
 __all__ = ['Member', 'MemberView', 'OnChange', 'State']
 
-OnChange = Callable[
-    [Member | None, Member], None
-]  #: receives the previous entry, if any, and the new one
+#: Called with the previous entry, if any, and the new one.
+OnChange = Callable[[Member | None, Member], None]
 
 
 class MemberView:
@@ -29,7 +28,7 @@
             return False
         self._members[member.instance] = member
         self.digests.replace(current, member)
-        # Invalidates only the services concerned: among hundreds of members some always change.
+        # Invalidate only the services concerned: among hundreds of members some always change.
         self._serving.pop(member.service, None)
         if current is not None:
             self._serving.pop(current.service, None)
@@ -52,12 +51,12 @@
         certain rejection.
         """
         # Cached, because this runs for each request and a scan would grow with the fleet.
-        current = self._serving.get(service)
-        if current is None:
+        serving = self._serving.get(service)
+        if serving is None:
             available = [m for m in self._members.values() if m.service == service and m.is_serving]
-            current = [m for m in available if m.state == State.ALIVE] or available
-            self._serving[service] = current
-        return current
+            serving = [m for m in available if m.state == State.ALIVE] or available
+            self._serving[service] = serving
+        return serving
 
     def members(self) -> Iterable[Member]:
         """Return all members, including dead ones."""
--- a/tests/fakes/network.py
+++ b/tests/fakes/network.py
@@ -1,4 +1,4 @@
-"""Datagrams in memory: between transports on a loop, and between bare state machines."""
+"""In-memory networks: for transports on an event loop, and a simulation of gossip protocols."""
 
 import asyncio
 import heapq
@@ -18,12 +18,12 @@
 
 
 class FakeNetwork:
-    """All transports opened on one loop."""
+    """Connects all transports opened on one event loop."""
 
     def __init__(self) -> None:
         self.receivers: dict[Address, DatagramHandler] = {}
-        self.opened = 0
-        self.unreachable: set[Address] = set()  #: nothing gets from or to these
+        self.open_count = 0
+        self.unreachable: set[Address] = set()  #: messages from and to these are dropped
 
     def send(self, sender: Address, to: Address, data: bytes) -> None:
         receiver = self.receivers.get(to)
@@ -49,23 +49,23 @@
 
 
 def current_network() -> FakeNetwork:
-    """Give the network of the running loop."""
+    """Return the network of the running event loop."""
     return _networks.setdefault(asyncio.get_running_loop(), FakeNetwork())
 
 
 async def open_in_memory(address: Address, receiver: DatagramHandler) -> Transport:
     network = current_network()
-    network.opened += 1
+    network.open_count += 1
     if address.port == 0:
-        address = address._replace(port=FIRST_PORT + network.opened)
+        address = address._replace(port=FIRST_PORT + network.open_count)
     network.receivers[address] = receiver
     return FakeTransport(network, address)
 
 
 class GossipSimulation:
-    """Many state machines, a clock that jumps, and a network that can be cut.
+    """Simulates many nodes with a virtual clock and a network that can lose messages and partition.
 
-    Every message is sealed and opened, so that its bytes are those on the wire.
+    Every message is encoded and decoded, so that its size is that on the wire.
     """
 
     def __init__(self, seed: int = 11, times: GossipTimes | None = None) -> None:
@@ -82,7 +82,7 @@
         self.recording = False
         self._names: dict[Address, str] = {}
         self._events: list[tuple[float, int, str, bytes | None]] = []
-        self._count = 0
+        self._event_count = 0
         self._codec = MessageCodec('a-key-for-tests')
 
     def add_node(
@@ -98,13 +98,13 @@
         return node
 
     def add_nodes(self, count: int, domains: int = 1) -> None:
-        """Add members that all know each other already."""
+        """Add nodes that all know each other already."""
         for i in range(count):
             self.add_node(f'n{i:03}', domain=f'domain-{i % domains}')
-        mes = [node.me for node in self.nodes.values()]
+        members = [node.me for node in self.nodes.values()]
         for node in self.nodes.values():
-            for me in mes:
-                node.view.merge(me)
+            for member in members:
+                node.view.merge(member)
             node.rumors = type(node.rumors)(node.limits.extra_transmissions)
 
     def kill(self, name: str) -> None:
@@ -118,25 +118,25 @@
         self.now = end
 
     def run_until(self, done: Callable[[], bool], limit: float, step: float = 0.25) -> float:
-        """Run until something holds; gives the time it took, or fails."""
-        began = self.now
+        """Run until ``done`` holds and return the seconds it took; fail after ``limit``."""
+        started_at = self.now
         while not done():
-            if self.now - began > limit:
+            if self.now - started_at > limit:
                 raise AssertionError(f'not within {limit} s')
             self.run(step)
-        return self.now - began
+        return self.now - started_at
 
     def count_states(self, name: str) -> Counter[State | None]:
-        """Count what the others hold of one member."""
-        found = (n.view.find(name) for k, n in self.nodes.items() if k != name)
-        return Counter(m.state if m else None for m in found)
+        """Count the states of one member in the views of the others."""
+        entries = (n.view.find(name) for other, n in self.nodes.items() if other != name)
+        return Counter(m.state if m else None for m in entries)
 
     def all_alive(self) -> bool:
-        """Whether every node holds every other alive."""
+        """Return whether every node considers every other node alive."""
         for node in self.nodes.values():
             for name in self.nodes:
-                held = node.view.find(name)
-                if held is None or held.state != State.ALIVE:
+                member = node.view.find(name)
+                if member is None or member.state != State.ALIVE:
                     return False
         return True
 
@@ -168,6 +168,6 @@
             if not lost and not self.is_cut(sender, name):
                 self._push(self.now + self.rng.uniform(0.001, 0.004), name, data)
 
-    def _push(self, at: float, name: str, data: bytes | None) -> None:
-        self._count += 1
-        heapq.heappush(self._events, (at, self._count, name, data))
+    def _push(self, time: float, name: str, data: bytes | None) -> None:
+        self._event_count += 1
+        heapq.heappush(self._events, (time, self._event_count, name, data))
--- a/tests/test_at_size.py
+++ b/tests/test_at_size.py
@@ -1,4 +1,4 @@
-"""What a node's control costs where it is one of hundreds: counted in work, not in time."""
+"""Cost of control work per node in a large fleet, measured by counting operations."""
 
 from random import Random
 from unittest import mock
@@ -14,30 +14,30 @@
 from tests.builders import build_member
 from tests.fakes.network import GossipSimulation
 
-FLEETS = (194, 960)
+FLEET_SIZES = (194, 960)
 
 
 class DigestsTest(TestCase):
-    def test_an_exchange_between_equal_views_costs_the_same_in_any_fleet(self):
-        # Callers wait: each exchange that comes in is compared with digests that were worked out
-        # anew over all members. With 194 nodes half of a node's processor time went there.
-        hashed = {}
-        for size in FLEETS:
+    def test_a_sync_of_equal_views_hashes_no_members(self):
+        # Requests are delayed if the digests of all members are computed again for each sync. With
+        # 194 nodes this took half of a node's CPU time.
+        hash_counts = {}
+        for size in FLEET_SIZES:
             net = GossipSimulation()
             net.add_nodes(size)
-            one, other = net.nodes['n000'], net.nodes['n001']
+            node, other = net.nodes['n000'], net.nodes['n001']
             sync = Sync(
                 sender='n001', reply_to=other.me.gossip, digests=other.view.digests.values()
             )
-            counted = mock.Mock(side_effect=xxhash.xxh32_intdigest)
-            with mock.patch.object(digests, 'xxh32_intdigest', counted):
-                self.assertEqual([], one.receive(1.0, sync))
-            hashed[size] = counted.call_count
-        self.assertEqual(dict.fromkeys(FLEETS, 0), hashed)
-
-    def test_kept_digests_are_those_of_the_members(self):
-        # Two nodes that hold the same would exchange all of it for ever if one of them had
-        # missed a change of its own view.
+            counter = mock.Mock(side_effect=xxhash.xxh32_intdigest)
+            with mock.patch.object(digests, 'xxh32_intdigest', counter):
+                self.assertEqual([], node.receive(1.0, sync))
+            hash_counts[size] = counter.call_count
+        self.assertEqual(dict.fromkeys(FLEET_SIZES, 0), hash_counts)
+
+    def test_incremental_digests_equal_recomputed_digests(self):
+        # If a change were missing in the digests of one node, two nodes with equal views would
+        # exchange all members again and again.
         rng = Random(7)
         view = MemberView()
         for _ in range(3000):
@@ -47,57 +47,57 @@
                 continue
             state = rng.choice(list(State))
             view.merge(build_member(name, incarnation=rng.randrange(1, 30), state=state))
-        fresh = Digests()
+        recomputed = Digests()
         for member in view.members():
-            fresh.replace(None, member)
-        self.assertEqual(fresh.values(), view.digests.values())
-        held = {m.instance for bucket in range(BUCKETS) for m in view.digests.members(bucket)}
-        self.assertEqual({m.instance for m in view.members()}, held)
+            recomputed.replace(None, member)
+        self.assertEqual(recomputed.values(), view.digests.values())
+        members = {m.instance for bucket in range(BUCKETS) for m in view.digests.members(bucket)}
+        self.assertEqual({m.instance for m in view.members()}, members)
 
-    def test_suspicions_and_deaths_leave_digests_alone_as_before(self):
+    def test_suspected_members_count_as_alive_and_dead_ones_are_left_out(self):
         alive, suspected = (build_member('a', state=s) for s in (State.ALIVE, State.SUSPECT))
-        numbers = {}
+        values = {}
         for member in (alive, suspected):
-            found = Digests()
-            found.replace(None, member)
-            numbers[member.state] = found.values()
-        self.assertEqual(numbers[State.ALIVE], numbers[State.SUSPECT])
-        gone = Digests()
-        gone.replace(None, build_member('a', state=State.DEAD))
-        self.assertEqual([0] * BUCKETS, gone.values())
+            computed = Digests()
+            computed.replace(None, member)
+            values[member.state] = computed.values()
+        self.assertEqual(values[State.ALIVE], values[State.SUSPECT])
+        dead = Digests()
+        dead.replace(None, build_member('a', state=State.DEAD))
+        self.assertEqual([0] * BUCKETS, dead.values())
         self.assertIn(bucket_of('a'), range(BUCKETS))
 
 
 class CountedCandidates(tuple):
-    """Counts how often somebody walks over it."""
+    """Counts its iterations."""
 
-    walks = 0
+    iterations = 0
 
     def __iter__(self):
-        self.walks += 1
+        self.iterations += 1
         return super().__iter__()
 
 
-class ChoiceTest(TestCase):
+class TargetChoiceTest(TestCase):
     def candidates(self, count: int) -> CountedCandidates:
         return CountedCandidates(Candidate(f'n{i:03}', f'd{i % 5}') for i in range(count))
 
-    def test_a_choice_costs_the_same_among_any_number_of_targets(self):
-        # Each call walked over all targets of its service, though only two are drawn: among
-        # 71 of them 44 us of processor time a call, among four 14.
-        for size in FLEETS:
-            router, found = Router('d0', Random(3)), self.candidates(size)
+    def test_choosing_a_target_does_not_scan_all_targets_each_time(self):
+        # Each request scanned all targets of its service although only two are sampled: with 71
+        # targets this took 44 us of CPU time per request, with four 14 us.
+        for size in FLEET_SIZES:
+            router, candidates = Router('d0', Random(3)), self.candidates(size)
             for i in range(500):
-                router.choose(i / 100, found)
-            self.assertLessEqual(found.walks, 3)
+                router.choose(i / 100, candidates)
+            self.assertLessEqual(candidates.iterations, 3)
 
-    def test_a_target_left_out_is_not_chosen_until_its_time_is_up(self):
-        # What is kept between choices must not outlive what it was worked out from.
-        router, found = Router('d0', Random(3)), self.candidates(40)
-        router.choose(0.0, found)
+    def test_a_leaving_target_is_not_chosen_until_its_time_is_up(self):
+        # What is cached between choices must be invalidated with its source.
+        router, candidates = Router('d0', Random(3)), self.candidates(40)
+        router.choose(0.0, candidates)
         router.avoid_leaving(0.0, 'n000')
-        soon = {router.choose(0.1, found).instance for _ in range(2000)}
-        later = {router.choose(60.0, found).instance for _ in range(2000)}
-        self.assertNotIn('n000', soon)
-        self.assertIn('n000', later)
-        self.assertEqual(later, soon | {'n000'})
+        chosen_at_once = {router.choose(0.1, candidates).instance for _ in range(2000)}
+        chosen_later = {router.choose(60.0, candidates).instance for _ in range(2000)}
+        self.assertNotIn('n000', chosen_at_once)
+        self.assertIn('n000', chosen_later)
+        self.assertEqual(chosen_later, chosen_at_once | {'n000'})
--- a/tests/test_roster.py
+++ b/tests/test_roster.py
@@ -13,7 +13,7 @@
 
 
 class Fleet:
-    """Membership parts of nodes on one loop, with one fake store."""
+    """Gossip agents and roster bootstraps of several nodes on one event loop with a fake store."""
 
     def __init__(self) -> None:
         self.store = FakeStore()
@@ -35,48 +35,48 @@
         self.agents[name] = agent
         return me
 
-    def stop(self, name: str, *, kindly: bool = False) -> None:
+    def stop(self, name: str, *, gracefully: bool = False) -> None:
         for task in self.tasks.pop(name):
             task.cancel()
         agent = self.agents.pop(name)
-        agent.leave() if kindly else agent._transport.close()
+        agent.leave() if gracefully else agent._transport.close()
 
-    def joined(self) -> bool:
-        return all(self.known(name) >= set(self.agents) for name in self.agents)
+    def has_joined(self) -> bool:
+        return all(self.known_instances(name) >= set(self.agents) for name in self.agents)
 
-    def known(self, name: str) -> set[str]:
+    def known_instances(self, name: str) -> set[str]:
         members = self.agents[name].gossip.view.members()
         return {m.instance for m in members if m.state == State.ALIVE}
 
     async def wait_joined(self, limit: float) -> float:
         loop = asyncio.get_running_loop()
-        began = loop.time()
-        while not self.joined():
-            if loop.time() - began > limit:
+        started_at = loop.time()
+        while not self.has_joined():
+            if loop.time() - started_at > limit:
                 raise AssertionError(f'not joined within {limit} s')
             await asyncio.sleep(0.1)
-        return loop.time() - began
+        return loop.time() - started_at
 
 
 class RosterTest(PausedClockTest):
-    def test_all_find_each_other_when_they_start_at_once(self):
-        # Nothing in the platform yet, all write at once and all but one lose the race. Each
-        # failure domain begins as an island; the next pass finds the other rosters.
+    def test_nodes_that_start_at_the_same_time_discover_each_other(self):
+        # The store is empty, all nodes write at the same time and one write per roster succeeds.
+        # Each failure domain starts isolated until the next pass reads the other rosters.
         async def scenario():
             fleet = Fleet()
             for i in range(30):
                 await fleet.start(f'n{i}', f'domain-{i % 3}')
-            took = await fleet.wait_joined(20)
+            elapsed = await fleet.wait_joined(20)
             calls = fleet.store.calls
             await asyncio.sleep(300)
-            return took, calls, fleet.store.calls - calls
+            return elapsed, calls, fleet.store.calls - calls
 
-        took, calls, later = self.run_paused(scenario())
-        self.assertLess(took, 10)
+        elapsed, calls, later_calls = self.run_paused(scenario())
+        self.assertLess(elapsed, 10)
         self.assertLess(calls, 30 * 5)
-        self.assertLess(later / 300, 3 * COORDINATORS_PER_DOMAIN / 30 * 2)
+        self.assertLess(later_calls / 300, 3 * COORDINATORS_PER_DOMAIN / 30 * 2)
 
-    def test_a_roster_names_a_few_live_instances(self):
+    def test_a_roster_lists_a_few_live_instances(self):
         async def scenario():
             fleet = Fleet()
             for i in range(20):
@@ -92,10 +92,10 @@
 
         listed, rosters, live = self.run_paused(scenario())
         self.assertLessEqual(len(listed), 8)
-        renewed = {m.instance for m in rosters['bangor-hall'].members}
-        self.assertLessEqual(3, len(renewed & live))
+        relisted = {m.instance for m in rosters['bangor-hall'].members}
+        self.assertLessEqual(3, len(relisted & live))
 
-    def test_seeds_are_enough_while_the_platform_is_down(self):
+    def test_seeds_suffice_for_discovery_while_the_store_is_down(self):
         async def scenario():
             fleet = Fleet()
             fleet.store.down = True
@@ -106,9 +106,9 @@
 
         self.assertLess(self.run_paused(scenario()), 5)
 
-    def test_no_herd_comes_back_after_an_outage(self):
-        # The platform answers nobody for three minutes. When it does again it must not be hit
-        # by all nodes in one second, or it goes down once more.
+    def test_store_calls_are_spread_out_after_an_outage(self):
+        # After an outage of three minutes, calls of all nodes within one second would overload the
+        # store again.
         async def scenario():
             fleet = Fleet()
             for i in range(60):
@@ -117,18 +117,18 @@
             fleet.store.down = True
             await asyncio.sleep(180)
             fleet.store.down = False
-            worst = 0
+            max_calls = 0
             for _ in range(60):
                 before = fleet.store.calls
                 await asyncio.sleep(1)
-                worst = max(worst, fleet.store.calls - before)
-            return worst
+                max_calls = max(max_calls, fleet.store.calls - before)
+            return max_calls
 
         self.assertLessEqual(self.run_paused(scenario()), 6)
 
-    def test_a_changeover_of_all_nodes_costs_the_platform_little(self):
-        # Every instance is replaced within four minutes, one after the other, at a new address.
-        # Each reads the rosters once or twice; only when those listed have gone is one written.
+    def test_replacing_all_nodes_causes_few_store_calls(self):
+        # All instances are replaced one after the other within four minutes, at new addresses. Each
+        # reads the rosters once or twice; a roster is written only after listed members are gone.
         async def scenario():
             fleet = Fleet()
             names = [f'n{i}' for i in range(48)]
@@ -136,13 +136,13 @@
                 await fleet.start(name, f'domain-{i % 3}')
             await fleet.wait_joined(20)
             await asyncio.sleep(60)
-            before, written = fleet.store.calls, fleet.store.revision
+            calls_before, writes_before = fleet.store.calls, fleet.store.revision
             for i, name in enumerate(names):
-                fleet.stop(name, kindly=i % 2 == 0)
+                fleet.stop(name, gracefully=i % 2 == 0)
                 await fleet.start(name, f'domain-{i % 3}')
                 await asyncio.sleep(5)
             await fleet.wait_joined(20)
-            return fleet.store.calls - before, fleet.store.revision - written
+            return fleet.store.calls - calls_before, fleet.store.revision - writes_before
 
         calls, writes = self.run_paused(scenario())
         self.assertLess(calls, 48 * 4)
@@ -159,11 +159,11 @@
         rosters = self.run_paused(scenario())
         self.assertEqual(['n0'], [m.instance for m in rosters['bangor-hall'].members])
 
-    def test_keepers_are_the_same_in_views_that_hold_the_same_members(self):
-        one, other = MemberView(), MemberView()
+    def test_equal_views_select_the_same_coordinators(self):
+        view, other = MemberView(), MemberView()
         members = [build_member(f'n{i}') for i in range(9)]
         for member in members:
-            one.merge(member)
+            view.merge(member)
         for member in reversed(members):
             other.merge(member)
-        self.assertEqual(rank_by_hash(one, 'bangor-hall'), rank_by_hash(other, 'bangor-hall'))
+        self.assertEqual(rank_by_hash(view, 'bangor-hall'), rank_by_hash(other, 'bangor-hall'))
