--- a/dunlinsaddle/membership/roster.py
+++ b/dunlinsaddle/membership/roster.py
@@ -4,16 +4,19 @@
 Only the coordinators of the domain, selected by rendezvous hashing, maintain it, so the number of
 store calls does not grow with the fleet.
 """
+
 import asyncio
+from random import Random
+from typing import Any, NamedTuple, TypedDict
+
 import msgspec
+from result import Ok
+
 from dunlinsaddle.membership.coordinators import COORDINATORS_PER_DOMAIN, rank_by_hash
 from dunlinsaddle.membership.protocol import GossipProtocol
 from dunlinsaddle.membership.view import Member, State
 from dunlinsaddle.platform.store import ABSENT, ObjectStore
 from dunlinsaddle.settings import parse_address
-from random import Random
-from result import Ok
-from typing import Any, NamedTuple, TypedDict
 
 ROSTERS = 'rosters'
 MIN_LIVE_LISTED = 3  #: live members that a roster must list: one remains when any two are lost
--- a/dunlinsaddle/membership/sync.py
+++ b/dunlinsaddle/membership/sync.py
@@ -1,14 +1,22 @@
 """Anti-entropy: comparison of a node's view with those of other nodes."""
+
 from collections.abc import Iterator
+from itertools import islice, takewhile
+from random import Random
+
 from dunlinsaddle.batches import split_into_batches
-from dunlinsaddle.membership.messages import MemberUpdate, SYNC_PAGE_BYTES, Sync, encoded_size, update_of
+from dunlinsaddle.membership.messages import (
+    SYNC_PAGE_BYTES,
+    MemberUpdate,
+    Sync,
+    encoded_size,
+    update_of,
+)
 from dunlinsaddle.membership.rumors import ByteBudget
 from dunlinsaddle.membership.tombstones import Tombstones
 from dunlinsaddle.membership.tuning import GossipLimits, GossipTimes
 from dunlinsaddle.membership.view import Member, MemberView
 from dunlinsaddle.settings import Address
-from itertools import islice, takewhile
-from random import Random
 
 
 class SyncResponder:
