--- a/dunlinsaddle/platform/__init__.py
+++ b/dunlinsaddle/platform/__init__.py
@@ -1,1 +1,1 @@
-"""What the platform speaks: names, formats and calls, decoded into the project's own types."""
+"""Adapter to the users' platform: its headers, formats and API, decoded into own types."""
--- a/dunlinsaddle/platform/client.py
+++ b/dunlinsaddle/platform/client.py
@@ -1,4 +1,4 @@
-"""The one client of the platform's object store, which speaks its published protocol."""
+"""HTTP client of the platform's object store."""
 
 import asyncio
 import math
@@ -27,12 +27,15 @@
 )
 from dunlinsaddle.settings import Address
 
-#: A slow platform still answers within it; connections to one that is down fail sooner.
+#: Long enough for a slow platform; connecting to one that is down fails sooner.
 CALL_TIMEOUT_SECONDS = 5.0
-MAX_WATCH_MS = 30_000  #: the longest watch that the store allows
-EPOCH_HEADER = b'store-era'  #: of each answer; rises each time the store returns from a copy
-MAX_EPOCH_DIGITS = 6  #: a bound against absurd numbers, which no peer could be told
-MIN_REFUSAL_STATUS = 410  #: from here on a status says that the store did nothing; 410 is a watch's
+MAX_WATCH_MS = 30_000  #: longest watch that the store allows
+EPOCH_HEADER = (
+    b'store-era'  #: in each response; incremented whenever the store is restored from a backup
+)
+MAX_EPOCH_DIGITS = 6  #: rejects absurd numbers, which could not be sent to peers
+#: Responses with this status or above mean that the store did nothing; 410 answers a watch.
+MIN_REFUSAL_STATUS = 410
 
 
 class HttpObjectStore:
@@ -45,15 +48,15 @@
         self.client = client
         self.timeout = timeout
         self.calls = 0
-        self.failures: Counter[str] = Counter()  #: calls without a usable answer, by why
-        self.last_response_at = -math.inf  #: time of the loop of the latest answer
-        self.epoch = 0  #: the latest that an answer told
+        self.failures: Counter[str] = Counter()  #: failed calls by status or reason
+        self.last_response_at = -math.inf  #: time of the loop
+        self.epoch = 0  #: highest epoch in any response
 
     async def get(self, kind: str, name: str) -> Result[StoredObject | None, Unavailable]:
         """Read one object."""
         match await self._send('GET', _path(kind, name)):
             case Ok(HttpResponse(status=200) as response):
-                return _object(kind, response)
+                return _decode_object(kind, response)
             case Ok(HttpResponse(status=404)):
                 return Ok(None)
             case other:
@@ -66,15 +69,15 @@
     async def _list(self, kind: str, timeout: float) -> Result[Listing, Unavailable]:
         """Read page by page, each within ``timeout`` seconds.
 
-        The version is that of the first page: what changes while the others are read is
-        news to a watch that starts there, which lists anew if the store came back from a copy.
+        The version is that of the first page: a watch from there returns what changes while the
+        other pages are read, or lists everything again if the store has been restored.
         """
         objects: list[StoredObject] = []
         version: int | None = None
         after = ''
         while True:
             query = '?' + urlencode({'after': after}) if after else ''
-            match _page(kind, await self._send('GET', _path(kind) + query, timeout=timeout)):
+            match _decode_page(kind, await self._send('GET', _path(kind) + query, timeout=timeout)):
                 case Err(error):
                     return Err(error)
                 case Ok(page):
@@ -87,48 +90,52 @@
     async def put(
         self, kind: str, name: str, value: JsonValue, expected: int
     ) -> Result[StoredObject, StoreError]:
-        """Write on the condition that the version is ``expected``."""
+        """Write an object if its version is ``expected``."""
         meta = {'name': name}
         if expected == ABSENT:
             body = msgspec.json.encode({'metadata': meta, 'specification': value})
-            return await self._changed(kind, name, 'POST', _path(kind), body)
+            return await self._write(kind, name, 'POST', _path(kind), body)
         position = version_to_position(expected)
         body = msgspec.json.encode(
             {'metadata': {**meta, 'revision': position.revision}, 'specification': value}
         )
-        return await self._changed(kind, name, 'PUT', _path(kind, name), body, position)
+        return await self._write(kind, name, 'PUT', _path(kind, name), body, position)
 
     async def delete(self, kind: str, name: str, expected: int) -> Result[StoredObject, StoreError]:
-        """Delete on the condition that the version is ``expected``."""
+        """Delete an object if its version is ``expected``."""
         position = version_to_position(expected)
         path = f'{_path(kind, name)}?revision={position.revision}'
-        match await self._changed(kind, name, 'DELETE', path, b'', position):
-            case Ok(held):
-                return Ok(held._replace(value=None))
+        match await self._write(kind, name, 'DELETE', path, b'', position):
+            case Ok(stored):
+                return Ok(stored._replace(value=None))
             case failed:
                 return failed
 
     async def watch(
         self, kind: str, since: int, timeout: float, grace: float = WATCH_GRACE_SECONDS
     ) -> Result[Listing, Unavailable]:
-        """Wait for something newer than ``since``; 0 and a forgotten past read all anew."""
+        """Wait for changes after ``since``; list all if it is 0 or not in the history any more."""
         position = version_to_position(since)
         if since <= 0 or position.epoch < self.epoch:
             return await self._list(kind, timeout + grace)
         wait_ms = min(int(timeout * 1000), MAX_WATCH_MS)
         path = f'{_path(kind)}?watch={position.revision}&waitMs={wait_ms}'
-        # It waits long on purpose: it must not be taken for overdue and sent once more.
-        match await self._send('GET', path, timeout=timeout + grace, repeats=False):
-            case Ok(HttpResponse(status=200) as response) if _epoch(response) == position.epoch:
-                return _decoded(response, _Changes).map(lambda c: c.plain(kind, position.epoch))
+        # A watch waits on purpose, so the client must not treat it as overdue and resend it.
+        match await self._send('GET', path, timeout=timeout + grace, may_resend=False):
+            case Ok(HttpResponse(status=200) as response) if (
+                _read_epoch(response) == position.epoch
+            ):
+                return _decode_response(response, _Changes).map(
+                    lambda c: c.to_listing(kind, position.epoch)
+                )
             case Ok(HttpResponse(status=200 | 410)):
-                # Not in the history, or of another epoch, in which the same revision stands for
-                # other changes and would hide some.
+                # The revision is no longer in the history, or belongs to another epoch, in which
+                # it identifies other changes, so that some would be missed.
                 return await self._list(kind, timeout + grace)
             case other:
                 return Err(_unavailable(other))
 
-    async def _changed(
+    async def _write(
         self,
         kind: str,
         name: str,
@@ -138,11 +145,11 @@
         expected: StorePosition | None = None,
     ) -> Result[StoredObject, StoreError]:
         if expected is not None and expected.epoch < self.epoch:
-            # Its revision may have been given out again, to another writer's change.
+            # The revision may have been reused for a change of another writer.
             return await self._conflict(kind, name)
         match await self._send(method, path, body):
             case Ok(HttpResponse(status=200 | 201) as response):
-                return _object(kind, response)
+                return _decode_object(kind, response)
             case Ok(HttpResponse(status=404)):
                 return Err(Conflict(None))
             case Ok(HttpResponse(status=409)):
@@ -151,7 +158,7 @@
                 return Err(_unavailable(other))
 
     async def _conflict(self, kind: str, name: str) -> Result[StoredObject, StoreError]:
-        # What stands there is read anew: the answer to a create need not hold it.
+        # Read the current object: the response to a create need not contain it.
         return (await self.get(kind, name)).and_then(lambda current: Err(Conflict(current)))
 
     async def _send(
@@ -161,19 +168,19 @@
         body: bytes = b'',
         timeout: float | None = None,
         *,
-        repeats: bool = True,
+        may_resend: bool = True,
     ) -> Result[HttpResponse, Unavailable]:
         self.calls += 1
         headers = [(b'content-type', b'application/json')] if body else []
         req = HttpRequest(method, path, headers, body, '')
-        again = _once_more if method == 'GET' and repeats else None
+        allow_resend = _always_allow if method == 'GET' and may_resend else None
         exchange = await self.client.send(
-            self.address, req, timeout or self.timeout, allow_resend=again
+            self.address, req, timeout or self.timeout, allow_resend=allow_resend
         )
         match exchange:
             case Answered(response):
                 self.last_response_at = asyncio.get_running_loop().time()
-                self.epoch = max(self.epoch, _epoch(response))
+                self.epoch = max(self.epoch, _read_epoch(response))
                 if response.status >= MIN_REFUSAL_STATUS:
                     self.failures[str(response.status)] += 1
                 return Ok(response)
@@ -182,7 +189,7 @@
                 return Err(Unavailable(failed.detail))
 
 
-def _once_more() -> bool:
+def _always_allow() -> bool:
     return True
 
 
@@ -200,7 +207,7 @@
     metadata: _WireMeta
     specification: Any = None
 
-    def plain(self, kind: str, epoch: int) -> StoredObject:
+    def to_object(self, kind: str, epoch: int) -> StoredObject:
         version = position_to_version(StorePosition(epoch, self.metadata.revision))
         return StoredObject(kind, self.metadata.name, version, self.specification)
 
@@ -220,11 +227,11 @@
     events: list[_WireEvent]
     at_revision: int
 
-    def plain(self, kind: str, epoch: int) -> Listing:
+    def to_listing(self, kind: str, epoch: int) -> Listing:
         objects = []
         for event in self.events:
-            for held in _readable(kind, epoch, event.object):
-                objects.append(held._replace(value=None) if event.removed else held)
+            for stored in _decode_or_skip(kind, epoch, event.object):
+                objects.append(stored._replace(value=None) if event.removed else stored)
         return Listing(objects, position_to_version(StorePosition(epoch, self.at_revision)))
 
 
@@ -234,31 +241,35 @@
     more: bool
 
 
-def _epoch(response: HttpResponse) -> int:
-    """Read the epoch of an answer, 0 where it tells none."""
-    told = dict(response.headers).get(EPOCH_HEADER, b'')
-    return int(told) if told.isdigit() and len(told) <= MAX_EPOCH_DIGITS else 0
+def _read_epoch(response: HttpResponse) -> int:
+    """Return the epoch in a response, 0 if there is none."""
+    value = dict(response.headers).get(EPOCH_HEADER, b'')
+    return int(value) if value.isdigit() and len(value) <= MAX_EPOCH_DIGITS else 0
 
 
-def _readable(kind: str, epoch: int, raw: msgspec.Raw) -> list[StoredObject]:
-    """Give the object, or nothing: one that another writer spoiled must not hide the rest."""
+def _decode_or_skip(kind: str, epoch: int, raw: msgspec.Raw) -> list[StoredObject]:
+    """Return the object, or nothing if invalid, so that one invalid object does not hide others."""
     try:
-        return [msgspec.json.decode(raw, type=_WireObject).plain(kind, epoch)]
+        return [msgspec.json.decode(raw, type=_WireObject).to_object(kind, epoch)]
     except (msgspec.MsgspecError, UnicodeError, RecursionError):
         return []
 
 
-def _object(kind: str, response: HttpResponse) -> Result[Any, Any]:
-    return _decoded(response, _WireObject).map(lambda held: held.plain(kind, _epoch(response)))
+def _decode_object(kind: str, response: HttpResponse) -> Result[Any, Any]:
+    return _decode_response(response, _WireObject).map(
+        lambda stored: stored.to_object(kind, _read_epoch(response))
+    )
 
 
-def _page(kind: str, result: Result[HttpResponse, Unavailable]) -> Result[_Page, Unavailable]:
+def _decode_page(
+    kind: str, result: Result[HttpResponse, Unavailable]
+) -> Result[_Page, Unavailable]:
     match result:
         case Ok(HttpResponse(status=200) as response):
-            epoch = _epoch(response)
-            return _decoded(response, _WirePage).map(
+            epoch = _read_epoch(response)
+            return _decode_response(response, _WirePage).map(
                 lambda page: _Page(
-                    [held for raw in page.items for held in _readable(kind, epoch, raw)],
+                    [stored for raw in page.items for stored in _decode_or_skip(kind, epoch, raw)],
                     position_to_version(StorePosition(epoch, page.at_revision)),
                     page.more,
                 )
@@ -267,16 +278,16 @@
             return Err(_unavailable(other))
 
 
-def _decoded(response: HttpResponse, shape: Any) -> Result[Any, Unavailable]:
-    """Read an answer; one that cannot be read counts as no answer at all.
+def _decode_response(response: HttpResponse, response_type: Any) -> Result[Any, Unavailable]:
+    """Decode a response; one that cannot be decoded is treated as no response.
 
-    An error page of a proxy or a body cut short must not end the loop that asked, and says
-    nothing on whether a write took effect.
+    An error page of a proxy or a truncated body must not end the caller's loop, and does not
+    show whether a write took effect.
     """
     try:
-        return Ok(msgspec.json.decode(response.body, type=shape))
+        return Ok(msgspec.json.decode(response.body, type=response_type))
     except (msgspec.MsgspecError, UnicodeError, RecursionError) as exc:
-        return Err(Unavailable(f'unreadable answer: {exc}'))
+        return Err(Unavailable(f'unreadable response: {exc}'))
 
 
 def _unavailable(result: Result[HttpResponse, Unavailable]) -> Unavailable:
--- a/dunlinsaddle/platform/configuration.py
+++ b/dunlinsaddle/platform/configuration.py
@@ -1,22 +1,11 @@
-"""The operators' configuration, an object in the platform's store."""
-
-from typing import Annotated, Any, Literal
-
+"""Decodes the operators' configuration, an object in the platform's store."""
 import msgspec
-from msgspec import Meta
-from result import Err, Ok, Result
-
 from dunlinsaddle.access.keys import key_digest
 from dunlinsaddle.platform.units import parse_seconds, parse_version
-from dunlinsaddle.routes.models import (
-    Configuration,
-    Limits,
-    Organisation,
-    Quota,
-    Route,
-    ServiceSettings,
-    WeightedService,
-)
+from dunlinsaddle.routes.models import Configuration, Limits, Organisation, Quota, Route, ServiceSettings, WeightedService
+from msgspec import Meta
+from result import Err, Ok, Result
+from typing import Annotated, Any, Literal
 
 KIND = 'config'
 NAME = 'main'
@@ -64,7 +53,7 @@
 
 
 class _Resource(msgspec.Struct, rename='camel'):
-    resource_kind: str  #: what the entry is: the name of the list that it belongs to
+    resource_kind: str  #: type of the entry: routes, services, tenants or limits
     specification: msgspec.Raw
     metadata: _Meta = _Meta()
 
@@ -75,14 +64,16 @@
 
 
 def read_configuration(value: Any) -> Result[Configuration, str]:
-    """Decode the object's value; Err says why it cannot be used."""
+    """Decode the value of the object; Err contains the reason if it is invalid."""
     try:
-        return Ok(_plain(msgspec.json.decode(msgspec.json.encode(value), type=_Document)))
+        return Ok(
+            _to_configuration(msgspec.json.decode(msgspec.json.encode(value), type=_Document))
+        )
     except (msgspec.MsgspecError, ValueError, TypeError, RecursionError) as exc:
         return Err(f'unreadable configuration: {exc}')
 
 
-def _plain(document: _Document) -> Configuration:
+def _to_configuration(document: _Document) -> Configuration:
     routes: list[Route] = []
     services: dict[str, ServiceSettings] = {}
     organisations: list[Organisation] = []
@@ -96,60 +87,60 @@
                 spec = msgspec.json.decode(raw, type=_Service)
                 services[name] = ServiceSettings(name, spec.health_path, spec.max_connections)
             case 'tenants':
-                found = msgspec.json.decode(raw, type=_Tenant)
-                organisations.append(_organisation(name, found))
+                wire = msgspec.json.decode(raw, type=_Tenant)
+                organisations.append(_organisation(name, wire))
             case 'limits':
                 limits = _limits(msgspec.json.decode(raw, type=_Limits))
-    _check_holders(organisations)
+    _check_uniqueness(organisations)
     version = parse_version(document.version)
     return Configuration(version, tuple(routes), services, limits, tuple(organisations))
 
 
-def _route(name: str, found: _Route) -> Route:
+def _route(name: str, wire: _Route) -> Route:
     weighted_services = tuple(
-        WeightedService(part.service, part.weight) for part in found.traffic_split
+        WeightedService(part.service, part.weight) for part in wire.traffic_split
     )
-    if found.service:
-        weighted_services = (WeightedService(found.service, 1.0),)
+    if wire.service:
+        weighted_services = (WeightedService(wire.service, 1.0),)
     if not any(share.weight > 0 for share in weighted_services):
-        raise ValueError(f'route {name} names no service')
+        raise ValueError(f'route {name} has no service')
     return Route(
         name=name,
-        host=found.host.lower(),
-        prefix=found.path_prefix,
-        idempotent=found.kind != 'unsafe',
-        timeout=parse_seconds(found.timeout) if found.timeout else None,
-        latency_objective=parse_seconds(found.target_latency) if found.target_latency else None,
-        max_attempts=found.attempts,
-        priority=found.priority,
+        host=wire.host.lower(),
+        prefix=wire.path_prefix,
+        idempotent=wire.kind != 'unsafe',
+        timeout=parse_seconds(wire.timeout) if wire.timeout else None,
+        latency_objective=parse_seconds(wire.target_latency) if wire.target_latency else None,
+        max_attempts=wire.attempts,
+        priority=wire.priority,
         weighted_services=weighted_services,
-        public=found.public,
+        public=wire.public,
     )
 
 
-def _organisation(name: str, found: _Tenant) -> Organisation:
+def _organisation(name: str, wire: _Tenant) -> Organisation:
     if not name.isascii() or not name.isprintable() or not name.strip():
-        raise ValueError(f'not the name of an organisation: {name!r}')
-    keys = frozenset(key_digest(key) for key in found.api_keys)
-    quota = Quota(found.requests_per_s, found.burst) if found.requests_per_s else None
-    return Organisation(name, keys, found.priority, quota)
+        raise ValueError(f'invalid name of an organisation: {name!r}')
+    keys = frozenset(key_digest(key) for key in wire.api_keys)
+    quota = Quota(wire.requests_per_s, wire.burst) if wire.requests_per_s else None
+    return Organisation(name, keys, wire.priority, quota)
 
 
-def _check_holders(organisations: list[Organisation]) -> None:
-    """Refuse a name that stands twice and a key with two holders, without telling the key."""
+def _check_uniqueness(organisations: list[Organisation]) -> None:
+    """Reject duplicate names and keys; the error does not contain the key."""
     names = [org.name for org in organisations]
     if len(set(names)) < len(names):
         raise ValueError('two organisations have the same name')
     if len({key for org in organisations for key in org.key_digests}) < sum(
         len(o.key_digests) for o in organisations
     ):
-        raise ValueError('a key is held by two organisations')
+        raise ValueError('two organisations have the same key')
 
 
-def _limits(found: _Limits) -> Limits:
+def _limits(wire: _Limits) -> Limits:
     return Limits(
-        found.max_header_bytes,
-        found.max_body_bytes,
-        parse_seconds(found.header_timeout),
-        parse_seconds(found.idle_timeout),
+        wire.max_header_bytes,
+        wire.max_body_bytes,
+        parse_seconds(wire.header_timeout),
+        parse_seconds(wire.idle_timeout),
     )
--- a/dunlinsaddle/platform/heartbeats.py
+++ b/dunlinsaddle/platform/heartbeats.py
@@ -1,16 +1,13 @@
-"""Heartbeats of the target beside a node, as they arrive at its address for them."""
-
-from typing import Annotated, Literal
-from urllib.parse import unquote
-
+"""Decodes the heartbeats that a node receives from its local target."""
 import msgspec
-from msgspec import Meta
-from result import Err, Ok, Result
-
 from dunlinsaddle.calls.http import HttpRequest, HttpResponse, json_response
 from dunlinsaddle.mesh.heartbeats import Deregistration, Heartbeat
 from dunlinsaddle.platform.units import parse_seconds
 from dunlinsaddle.settings import parse_address
+from msgspec import Meta
+from result import Err, Ok, Result
+from typing import Annotated, Literal
+from urllib.parse import unquote
 
 INSTANCES_PATH = '/instances/'
 
@@ -22,11 +19,11 @@
     state: Literal['ready', 'draining']
     sequence: Annotated[int, Meta(ge=0)]
     cold_remaining: str = '0ms'
-    born: int = 0  #: Unix milliseconds of the target's start
+    born: int = 0  #: start time of the target in Unix milliseconds
 
 
 def read_heartbeat(req: HttpRequest) -> Result[Heartbeat | Deregistration, str]:
-    """Decode one request to the address for heartbeats; Err says what is wrong with it."""
+    """Decode a request to the heartbeat listener; Err contains the reason if it is invalid."""
     path = req.path.partition('?')[0]
     target_id = unquote(path.removeprefix(INSTANCES_PATH))
     if not path.startswith(INSTANCES_PATH) or not target_id or '/' in target_id:
@@ -36,17 +33,17 @@
     if req.method != 'PUT':
         return Err(f'no such method: {req.method}')
     try:
-        beat = msgspec.json.decode(req.body, type=_Beat)
+        wire = msgspec.json.decode(req.body, type=_Beat)
         return Ok(
             Heartbeat(
                 target_id=target_id,
-                service=beat.service,
-                address=parse_address(beat.address),
-                slots=beat.slots,
-                draining=beat.state == 'draining',
-                warmup_seconds=parse_seconds(beat.cold_remaining),
-                started_at_ms=beat.born,
-                sequence=beat.sequence,
+                service=wire.service,
+                address=parse_address(wire.address),
+                slots=wire.slots,
+                draining=wire.state == 'draining',
+                warmup_seconds=parse_seconds(wire.cold_remaining),
+                started_at_ms=wire.born,
+                sequence=wire.sequence,
             )
         )
     except (msgspec.MsgspecError, ValueError, RecursionError) as exc:
@@ -54,10 +51,10 @@
 
 
 def acknowledgement() -> HttpResponse:
-    """Give the answer that acknowledges a heartbeat."""
+    """Return the response that acknowledges a heartbeat."""
     return json_response({})
 
 
-def rejection(why: str) -> HttpResponse:
-    """Give the answer to what names no target."""
-    return json_response({'error': why}, 400)
+def rejection(reason: str) -> HttpResponse:
+    """Return the response to an invalid request."""
+    return json_response({'error': reason}, 400)
--- a/dunlinsaddle/platform/node_file.py
+++ b/dunlinsaddle/platform/node_file.py
@@ -1,25 +1,22 @@
-"""The settings file that the platform writes for each process."""
-
-from typing import Any
-
+"""Decodes the settings file that the platform writes for each process."""
 import msgspec
-from result import Err, Ok, Result
-
 from dunlinsaddle.mesh.settings import DeploymentLimits, MeshSettings
 from dunlinsaddle.platform.units import parse_seconds
 from dunlinsaddle.settings import SettingError, parse_address
+from result import Err, Ok, Result
+from typing import Any
 
-PEERS_PORT_OFFSET = 0  #: offset into the range of internal ports
+PEERS_PORT_OFFSET = 0  #: offset in the range of internal ports
 GOSSIP_PORT_OFFSET = 1
-#: The port that deploy/system.toml names: the file is written before a day's range is known.
-#: 9464 is the usual one of OpenTelemetry's exporter.
+#: Fixed, as deploy/system.toml names it and is written before the internal port range is known.
+#: 9464 is the usual port of OpenTelemetry's exporter.
 METRICS_PORT = 9464
 
 
 class _Listen(msgspec.Struct):
     outbound: str  #: where callers on this machine and the target itself send requests
     ready: str
-    control: str  #: where the target beside the node sends its heartbeats
+    control: str  #: where the local target sends its heartbeats
 
 
 class _Store(msgspec.Struct):
@@ -41,31 +38,31 @@
 
 
 def read_node_file(data: bytes) -> Result[MeshSettings, SettingError]:
-    """Decode the file. Unknown fields are ignored; one that cannot be used is named."""
+    """Decode the file, ignoring unknown fields; the error names an invalid field."""
     try:
-        found = msgspec.json.decode(data, type=_NodeFile)
-        return Ok(_plain(found))
+        wire = msgspec.json.decode(data, type=_NodeFile)
+        return Ok(_to_settings(wire))
     except (msgspec.MsgspecError, ValueError, KeyError, TypeError) as exc:
         return Err(SettingError('node-file', str(exc), "the platform's settings"))
 
 
-def _plain(found: _NodeFile) -> MeshSettings:
-    first_port = found.internal_port_range[0]
-    host = found.ip_address
-    bounds = found.bounds
+def _to_settings(wire: _NodeFile) -> MeshSettings:
+    first_port = wire.internal_port_range[0]
+    host = wire.ip_address
+    bounds = wire.bounds
     return MeshSettings(
-        instance=found.node_name,
-        domain=found.zone,
-        region=found.region,
-        callers=parse_address(found.listen.outbound),
-        ready=parse_address(found.listen.ready),
-        announce=parse_address(found.listen.control),
+        instance=wire.node_name,
+        domain=wire.zone,
+        region=wire.region,
+        callers=parse_address(wire.listen.outbound),
+        ready=parse_address(wire.listen.ready),
+        announce=parse_address(wire.listen.control),
         peers=parse_address(f'{host}:{first_port + PEERS_PORT_OFFSET}'),
         gossip=parse_address(f'{host}:{first_port + GOSSIP_PORT_OFFSET}'),
         metrics=parse_address(f'{host}:{METRICS_PORT}'),
-        target=parse_address(found.app_address),
-        service=found.service,
-        platform=parse_address(found.platform.address),
+        target=parse_address(wire.app_address),
+        service=wire.service,
+        platform=parse_address(wire.platform.address),
         limits=DeploymentLimits(
             drain_seconds=parse_seconds(bounds['drain']),
             grace_seconds=parse_seconds(bounds['grace']),
@@ -79,5 +76,5 @@
             if bounds.get('revokeEverywhere')
             else None,
         ),
-        first_start=found.first_start,
+        first_start=wire.first_start,
     )
--- a/dunlinsaddle/platform/requests.py
+++ b/dunlinsaddle/platform/requests.py
@@ -1,37 +1,37 @@
-"""Requests and answers as callers and targets of the platform write them."""
-
+"""Converts requests and responses between the platform's headers and internal types."""
 import math
 import re
-from typing import NamedTuple
-
 from dunlinsaddle.access.keys import key_digest
 from dunlinsaddle.calls.http import HttpRequest, HttpResponse, forwarded_headers
 from dunlinsaddle.calls.messages import Headers, Reply, refusal
-from dunlinsaddle.calls.target import NOTHING_ADVERTISED, AdvertisedState
+from dunlinsaddle.calls.target import AdvertisedState, NOTHING_ADVERTISED
 from dunlinsaddle.errors import ErrorKind, Failure, Outcome
 from dunlinsaddle.platform import headers as names
+from typing import NamedTuple
 
-_SET_HERE = frozenset({names.REMAINING_MILLISECONDS, names.CALLER_SERVICE, names.EXPECTED_TARGET})
-#: Headers that end at the entry where callers need a key: the key itself must not leave it, and a
-#: caller must not name another organisation than its own.
-_SET_HERE_KEYED = _SET_HERE | {names.AUTHORIZATION, names.ORGANISATION}
+_REPLACED_HEADERS = frozenset(
+    {names.REMAINING_MILLISECONDS, names.CALLER_SERVICE, names.EXPECTED_TARGET}
+)
+#: Headers that are not forwarded where callers need a key: the key must not leave the node, and a
+#: caller must not claim to belong to another organisation.
+_REPLACED_HEADERS_WITH_KEYS = _REPLACED_HEADERS | {names.AUTHORIZATION, names.ORGANISATION}
 _BEARER = 'bearer '
-WRONG_TARGET = 421
+WRONG_TARGET_STATUS = 421
 _DECIMAL = re.compile(r'[0-9]{1,9}(\.[0-9]{1,9})?', re.ASCII)
-_SHOWN = 40  #: characters of a value that cannot be read, in logs
-FIRST_SUCCESS, LAST_SUCCESS = 200, 299
+_MAX_LOGGED_CHARS = 40  #: of an invalid value
+MIN_SUCCESS_STATUS, MAX_SUCCESS_STATUS = 200, 299
 
 
 class CallerHeaders(NamedTuple):
-    """What a caller says of its own request."""
+    """The values of a caller's headers."""
 
     request_id: str
     remaining_seconds: float | None  #: seconds that the caller will still wait
-    key_digest: bytes = b''  #: the digest of its key, empty where it shows none
+    key_digest: bytes = b''  #: empty if the caller sent no key
 
 
 def read_caller_headers(req: HttpRequest) -> CallerHeaders:
-    """Read a caller's headers; a time that cannot be read counts as none."""
+    """Decode a caller's headers; an invalid time counts as none."""
     text = req.header(names.REMAINING_MILLISECONDS)
     remaining_seconds = int(text) / 1000 if text.isdecimal() else None
     return CallerHeaders(
@@ -46,12 +46,12 @@
 
 
 def build_forwarded_headers(req: HttpRequest, origin: str, *, keys_required: bool) -> Headers:
-    """Give the headers that go on to the target, with the service of the origin.
+    """Return the headers to forward to the target, with the service ``origin`` added.
 
-    Where callers need a key, ``keys_required``, neither the key nor a name that they gave goes on.
+    With ``keys_required``, the caller's key and any organisation that it named are removed.
     """
-    ended = _SET_HERE_KEYED if keys_required else _SET_HERE
-    kept = [(n, v) for n, v in forwarded_headers(req.headers) if n not in ended]
+    dropped = _REPLACED_HEADERS_WITH_KEYS if keys_required else _REPLACED_HEADERS
+    kept = [(n, v) for n, v in forwarded_headers(req.headers) if n not in dropped]
     return [
         (b'host', req.header(b'host').encode('latin-1')),
         *kept,
@@ -62,16 +62,16 @@
 def build_attempt_headers(
     headers: Headers, seconds: float, target_id: str, organisation: str
 ) -> Headers:
-    """Give the headers of one attempt at a target; ``organisation`` is empty for none."""
-    left = str(max(math.floor(seconds * 1000), 1)).encode()
-    own = [(names.REMAINING_MILLISECONDS, left), (names.EXPECTED_TARGET, target_id.encode())]
+    """Return the headers of one attempt at a target; ``organisation`` is empty for none."""
+    remaining = str(max(math.floor(seconds * 1000), 1)).encode()
+    added = [(names.REMAINING_MILLISECONDS, remaining), (names.EXPECTED_TARGET, target_id.encode())]
     if organisation:
-        own.append((names.ORGANISATION, organisation.encode()))
-    return [*headers, *own]
+        added.append((names.ORGANISATION, organisation.encode()))
+    return [*headers, *added]
 
 
 def matches_request(request_id: str, headers: Headers) -> bool:
-    """Say whether an answer belongs to a request; one that names none is taken for it."""
+    """Return whether a response belongs to a request, or has no request ID at all."""
     for name, value in headers:
         if name == names.REQUEST_ID:
             return value == request_id.encode('latin-1')
@@ -79,49 +79,60 @@
 
 
 def decode_reply(response: HttpResponse) -> Reply:
-    """Tell what a target's whole answer says of the work."""
-    found = dict(response.headers)
-    if names.NOT_EXECUTED in found or response.status == WRONG_TARGET:
-        kind = ErrorKind.NO_TARGET if response.status == WRONG_TARGET else ErrorKind.TARGET_REFUSED
-        return refusal(Failure(kind, f'the target answered {response.status}', 1.0))
-    success = FIRST_SUCCESS <= response.status <= LAST_SUCCESS
-    if success and (names.SERVER_SIGNATURE not in found or names.REQUEST_ID not in found):
-        return refusal(Failure(ErrorKind.INCOMPLETE_ANSWER, 'the answer is not signed'))
-    if b'content-encoding' in found:
-        # Callers ask for none: something on the way has changed the body.
-        return refusal(Failure(ErrorKind.INCOMPLETE_ANSWER, 'the body was encoded on the way'))
+    """Convert a complete response of a target to a reply."""
+    headers_by_name = dict(response.headers)
+    if names.NOT_EXECUTED in headers_by_name or response.status == WRONG_TARGET_STATUS:
+        kind = (
+            ErrorKind.NO_TARGET
+            if response.status == WRONG_TARGET_STATUS
+            else ErrorKind.TARGET_REFUSED
+        )
+        return refusal(Failure(kind, f'the target responded with status {response.status}', 1.0))
+    success = MIN_SUCCESS_STATUS <= response.status <= MAX_SUCCESS_STATUS
+    if success and (
+        names.SERVER_SIGNATURE not in headers_by_name or names.REQUEST_ID not in headers_by_name
+    ):
+        return refusal(Failure(ErrorKind.INCOMPLETE_ANSWER, 'the response is not signed'))
+    if b'content-encoding' in headers_by_name:
+        # Callers request no encoding, so an intermediary has changed the body.
+        return refusal(
+            Failure(ErrorKind.INCOMPLETE_ANSWER, 'the response body was encoded in transit')
+        )
     kept = forwarded_headers(response.headers)
     return Reply(0, response.status, kept, response.body, Outcome.DONE)
 
 
 def read_advertised_state(response: HttpResponse, target_id: str) -> AdvertisedState | None:
-    """Tell what an answer says of the target; None unless that target has made it, unchanged.
+    """Return the state that a target advertises in a response.
 
-    Of several rates the lowest counts. A rate that cannot be read says nothing.
+    None if the response was not created by that target or was changed in transit. Of several
+    rates the lowest applies; invalid rates are ignored.
     """
-    found = dict(response.headers)
-    # What took over the address of a target that has gone answers so, and speaks for itself.
-    if response.status == WRONG_TARGET or b'content-encoding' in found:
+    headers_by_name = dict(response.headers)
+    # A new target at the address of one that is gone responds with this status.
+    if response.status == WRONG_TARGET_STATUS or b'content-encoding' in headers_by_name:
         return None
-    if names.SERVER_SIGNATURE not in found and names.NOT_EXECUTED not in found:
+    if names.SERVER_SIGNATURE not in headers_by_name and names.NOT_EXECUTED not in headers_by_name:
         return None
-    if found.get(names.TARGET_ID, b'').decode('latin-1') not in ('', target_id):
+    if headers_by_name.get(names.TARGET_ID, b'').decode('latin-1') not in ('', target_id):
         return None
-    leaving = found.get(names.SERVER_LEAVING) == b'1'
-    if names.RATE_LIMIT not in found:
+    leaving = headers_by_name.get(names.SERVER_LEAVING) == b'1'
+    if names.RATE_LIMIT not in headers_by_name:
         return AdvertisedState(leaving=leaving) if leaving else NOTHING_ADVERTISED
     texts = [
         value.decode('latin-1') for name, value in response.headers if name == names.RATE_LIMIT
     ]
     rates = [float(text) for text in texts if _DECIMAL.fullmatch(text)]
-    return AdvertisedState(min(rates, default=None), leaving, None if rates else texts[0][:_SHOWN])
+    return AdvertisedState(
+        min(rates, default=None), leaving, None if rates else texts[0][:_MAX_LOGGED_CHARS]
+    )
 
 
 def build_caller_response(reply: Reply, request_id: str) -> HttpResponse:
-    """Give the response that carries a reply to a caller.
+    """Convert a reply to a response to the caller.
 
-    Retry-After goes out with three decimals: callers take fractions, and a whole second is
-    much of the time that they have.
+    Retry-After has three decimals: callers accept fractions, and a whole second is a large part
+    of their timeout.
     """
     headers = reply.headers
     if reply.kind:
--- a/dunlinsaddle/platform/units.py
+++ b/dunlinsaddle/platform/units.py
@@ -1,27 +1,27 @@
-"""Units of the platform's bodies: times as text, configuration versions with a letter."""
+"""Parses durations such as ``1500ms`` and configuration versions such as ``r12``."""
 
 
 def parse_seconds(text: object) -> float:
-    """Read a time such as ``1500ms`` or ``2.5s``, in seconds. Raises ValueError.
+    """Parse a duration such as ``1500ms`` or ``2.5s``, in seconds. Raise ValueError if invalid.
 
     >>> read_seconds('1500ms')
     1.5
     """
     if not isinstance(text, str):
-        raise ValueError(f'not a time: {text!r}')
+        raise ValueError(f'not a duration: {text!r}')
     if text.endswith('ms'):
         seconds = float(text[:-2]) / 1000
     elif text.endswith('s'):
         seconds = float(text[:-1])
     else:
-        raise ValueError(f'not a time: {text!r}')
+        raise ValueError(f'not a duration: {text!r}')
     if not 0 <= seconds < float('inf'):
-        raise ValueError(f'not a time: {text!r}')
+        raise ValueError(f'not a duration: {text!r}')
     return seconds
 
 
 def parse_version(text: object) -> int:
-    """Read a configuration version such as ``r12``. Raises ValueError.
+    """Parse a configuration version such as ``r12``. Raise ValueError if invalid.
 
     >>> read_version('r12')
     12
--- a/dunlinsaddle/records/__init__.py
+++ b/dunlinsaddle/records/__init__.py
@@ -1,1 +1,1 @@
-"""What operators write: typed records of services, in schema versions that live side by side."""
+"""Service records written by operators: schema versions, changes, history, synchronisation."""
--- a/dunlinsaddle/records/changes.py
+++ b/dunlinsaddle/records/changes.py
@@ -1,4 +1,4 @@
-"""Changes of records: a conditional write that carries its own audit entry."""
+"""Changes to records: a conditional write that includes its own audit entry."""
 
 from datetime import UTC, datetime
 from typing import Any, NamedTuple
@@ -36,10 +36,11 @@
 
 
 class Change(NamedTuple):
-    """What an operator asks for; ``doc`` is None to delete.
+    """A change requested by an operator; ``doc`` is None to delete the record.
 
-    ``id`` is the operator's own, the same in each resend of one change. ``expected`` is the
-    version read before, ABSENT where no record may stand. ``when`` in seconds since 1970.
+    ``id`` is chosen by the operator and is the same in each resend of one change. ``expected``
+    is the version that the operator read, or ABSENT if the record must not exist. ``when`` is
+    in seconds since the Unix epoch.
     """
 
     id: str
@@ -53,15 +54,15 @@
 
 
 class Accepted(NamedTuple):
-    """A change that took effect, and what it changed."""
+    """A change that took effect, and the fields that it changed."""
 
     version: int
     changed: list[str]
-    settled: bool  #: found already written, by an earlier send of the same change
+    settled: bool  #: already written by an earlier send of the same change
 
 
 class Clash(NamedTuple):
-    """What stands in the way of a change: what others changed since, and what this would."""
+    """A version conflict: the fields that others changed since, and those of this change."""
 
     version: int
     theirs: list[ChangeEntry]
@@ -70,25 +71,25 @@
 
 
 class Rejected(NamedTuple):
-    """A change that was not accepted; ``clash`` where somebody else was first."""
+    """A change that was not accepted; ``clash`` is set on a version conflict."""
 
     failure: Failure
     clash: Clash | None = None
 
 
-def entry_from_object(held: StoredObject) -> RecordEntry:
-    """Give the document that an object of the platform holds."""
-    value = held.value
+def entry_from_object(existing: StoredObject) -> RecordEntry:
+    """Return the document in an object of the platform's store."""
+    value = existing.value
     doc = value.get('record') if isinstance(value, dict) else value
-    return RecordEntry(held.name, held.version, doc)
+    return RecordEntry(existing.name, existing.version, doc)
 
 
 def validate_change(
-    change: Change, held: StoredObject | None, newest_schema: int = NEWEST_SCHEMA
+    change: Change, existing: StoredObject | None, newest_schema: int = NEWEST_SCHEMA
 ) -> Failure | None:
-    """Say what is wrong with a change, whatever the versions."""
-    texts = (('id', change.id), ('who', change.who), ('why', change.why))
-    for name, text in texts:
+    """Return the failure of an invalid change, None if it is valid. Ignores versions."""
+    text_fields = (('id', change.id), ('who', change.who), ('why', change.why))
+    for name, text in text_fields:
         if len(text) > MAX_TEXT_LENGTH or (name != 'why' and not text.strip()):
             detail = f'{name}: expected 1 to {MAX_TEXT_LENGTH} characters'
             return Failure(ErrorKind.INVALID_RECORD, detail)
@@ -97,10 +98,10 @@
     checked = decode_entry(RecordEntry(change.service, 0, change.doc), newest_schema)
     if isinstance(checked, Err):
         return checked.err_value
-    stored = schema_version_of(entry_from_object(held).doc) if held else 0
-    # An older tool does not know the newer fields and would drop them without a word.
-    if schema_version_of(change.doc) < stored and not change.downgrade:
-        detail = f'schema {stored} stands there: write that, or ask for the downgrade'
+    stored_schema = schema_version_of(entry_from_object(existing).doc) if existing else 0
+    # An older tool does not know the newer fields and would silently drop them.
+    if schema_version_of(change.doc) < stored_schema and not change.downgrade:
+        detail = f'the stored record has schema {stored_schema}: use it, or request a downgrade'
         return Failure(ErrorKind.NEWER_SCHEMA, detail)
     return None
 
@@ -108,118 +109,123 @@
 async def apply_change(
     store: ObjectStore, change: Change, newest_schema: int = NEWEST_SCHEMA
 ) -> Result[Accepted, Rejected]:
-    """Write a change on its condition, at most once however often it is sent.
+    """Write a change conditionally, at most once however often it is sent.
 
-    When an answer is lost, what stands there is read back: the change's id in its history
-    says that it took effect. Writing again on the same condition is safe, since only one
-    write can meet a version.
+    When the response to a write is lost, the object is read back: if its history contains the
+    change's id, the change took effect. Writing again with the same expected version is safe,
+    since only one write can succeed for each version.
     """
     detail = ''
     for _ in range(MAX_WRITE_ATTEMPTS):
         match await store.get(RECORDS, change.service):
-            case Ok(held):
+            case Ok(existing):
                 pass
             case Err(error):
                 return Err(_unavailable(error.detail))
-        decided = _decide(change, held, newest_schema)
-        if decided is not None:
-            return decided
-        match await _write(store, change, held):
+        outcome = _decide_without_write(change, existing, newest_schema)
+        if outcome is not None:
+            return outcome
+        match await _write(store, change, existing):
             case Ok(stored):
                 return Ok(_accepted(change, stored, settled=False))
             case Err(Conflict(current)):
-                return _decide(change, current, newest_schema) or Err(
-                    _unavailable('it changes too fast')
+                return _decide_without_write(change, current, newest_schema) or Err(
+                    _unavailable('the record changes too fast')
                 )
-            case Err(Unavailable(lost)):
-                detail = lost
+            case Err(Unavailable(reason)):
+                detail = reason
     return Err(_unavailable(detail))
 
 
-def _decide(
-    change: Change, held: StoredObject | None, newest_schema: int
+def _decide_without_write(
+    change: Change, existing: StoredObject | None, newest_schema: int
 ) -> Result[Accepted, Rejected] | None:
-    """Give the answer that needs no write, None where the change is to be written."""
-    if not is_history_readable(held):
-        failure = Failure(ErrorKind.NEWER_SCHEMA, 'its audit trail cannot be read here')
+    """Return the result if no write is needed, None if the change must be written."""
+    if not is_history_readable(existing):
+        failure = Failure(ErrorKind.NEWER_SCHEMA, 'the audit trail of the record cannot be decoded')
         return Err(Rejected(failure))
-    earlier = _find(change, held)
-    if held is not None and earlier is not None:
+    earlier = _find_entry(change, existing)
+    if existing is not None and earlier is not None:
         if earlier['digest'] != _digest(change):
-            failure = Failure(ErrorKind.KEY_REUSED, f'{change.id} was another change')
+            failure = Failure(ErrorKind.KEY_REUSED, f'id {change.id} was used for another change')
             return Err(Rejected(failure))
-        return Ok(_accepted(change, held, settled=True))
-    failed = validate_change(change, held, newest_schema)
-    if failed is not None:
-        return Err(Rejected(failed))
-    if not _meets(change.expected, held):
-        return Err(_clash(change, held))
-    if change.doc is None and (held is None or entry_from_object(held).doc is None):
+        return Ok(_accepted(change, existing, settled=True))
+    invalid = validate_change(change, existing, newest_schema)
+    if invalid is not None:
+        return Err(Rejected(invalid))
+    if not _matches_expected_version(change.expected, existing):
+        return Err(_clash(change, existing))
+    if change.doc is None and (existing is None or entry_from_object(existing).doc is None):
         return Err(Rejected(Failure(ErrorKind.UNKNOWN_SERVICE, change.service)))
     return None
 
 
 async def _write(
-    store: ObjectStore, change: Change, held: StoredObject | None
+    store: ObjectStore, change: Change, existing: StoredObject | None
 ) -> Result[StoredObject, StoreError]:
-    before = held.version if held else ABSENT
+    before = existing.version if existing else ABSENT
     entry = ChangeEntry(
         id=change.id,
         who=change.who,
         why=change.why,
         when=change.when,
         before=before,
-        changed=changed_fields(entry_from_object(held).doc if held else None, change.doc),
+        changed=changed_fields(entry_from_object(existing).doc if existing else None, change.doc),
         deleted=change.doc is None,
         digest=_digest(change),
     )
-    obj = read_record_object(held)
+    record_object = read_record_object(existing)
     value = RecordObject(
-        record=change.doc, history=[*obj['history'], entry], archived=obj['archived']
+        record=change.doc,
+        history=[*record_object['history'], entry],
+        archived=record_object['archived'],
     )
     match await archive_oldest_entries(store, change.service, value):
-        case Ok(fitting):
-            others = held.value if held and isinstance(held.value, dict) else {}
-            return await store.put(RECORDS, change.service, {**others, **fitting}, before)
+        case Ok(trimmed):
+            existing_fields = (
+                existing.value if existing and isinstance(existing.value, dict) else {}
+            )
+            return await store.put(RECORDS, change.service, {**existing_fields, **trimmed}, before)
         case Err(error):
             return Err(error)
 
 
-def _meets(expected: int, held: StoredObject | None) -> bool:
-    if held is None or (expected == ABSENT and entry_from_object(held).doc is None):
+def _matches_expected_version(expected: int, existing: StoredObject | None) -> bool:
+    if existing is None or (expected == ABSENT and entry_from_object(existing).doc is None):
         return expected == ABSENT
-    return expected == held.version
+    return expected == existing.version
 
 
 def _digest(change: Change) -> str:
-    asked = [change.doc, change.expected, change.who, change.why]
-    return str(xxhash.xxh64_hexdigest(msgspec.json.encode(asked, order='sorted')))
+    digest_input = [change.doc, change.expected, change.who, change.why]
+    return str(xxhash.xxh64_hexdigest(msgspec.json.encode(digest_input, order='sorted')))
 
 
-def _find(change: Change, held: StoredObject | None) -> ChangeEntry | None:
-    return next((e for e in read_record_object(held)['history'] if e['id'] == change.id), None)
+def _find_entry(change: Change, existing: StoredObject | None) -> ChangeEntry | None:
+    return next((e for e in read_record_object(existing)['history'] if e['id'] == change.id), None)
 
 
-def _accepted(change: Change, held: StoredObject, *, settled: bool) -> Accepted:
-    entry = _find(change, held)
+def _accepted(change: Change, existing: StoredObject, *, settled: bool) -> Accepted:
+    entry = _find_entry(change, existing)
     changed = entry['changed'] if entry else []
-    return Accepted(resulting_version(held, change.id), changed, settled)
+    return Accepted(resulting_version(existing, change.id), changed, settled)
 
 
-def _clash(change: Change, held: StoredObject | None) -> Rejected:
-    if held is None:
+def _clash(change: Change, existing: StoredObject | None) -> Rejected:
+    if existing is None:
         failure = Failure(ErrorKind.VERSION_CONFLICT, 'there is no such record')
         return Rejected(failure, Clash(ABSENT, [], [], []))
-    theirs = entries_after(held, change.expected)
-    fields = sorted({name for entry in theirs for name in entry['changed']})
-    yours = changed_fields(entry_from_object(held).doc, change.doc)
-    detail = f'version {held.version} stands there'
+    theirs = entries_after(existing, change.expected)
+    their_fields = sorted({name for entry in theirs for name in entry['changed']})
+    your_fields = changed_fields(entry_from_object(existing).doc, change.doc)
+    detail = f'the current version is {existing.version}'
     if theirs:
         last = theirs[-1]
-        moment = datetime.fromtimestamp(last['when'], UTC).strftime('%Y-%m-%dT%H:%M:%SZ')
-        detail += f', changed by {last["who"]} at {moment} ({", ".join(fields) or "nothing"})'
+        when = datetime.fromtimestamp(last['when'], UTC).strftime('%Y-%m-%dT%H:%M:%SZ')
+        detail += f', changed by {last["who"]} at {when} ({", ".join(their_fields) or "nothing"})'
     return Rejected(
-        Failure(ErrorKind.VERSION_CONFLICT, detail), Clash(held.version, theirs, fields, yours)
+        Failure(ErrorKind.VERSION_CONFLICT, detail),
+        Clash(existing.version, theirs, their_fields, your_fields),
     )
 
 
--- a/dunlinsaddle/records/chunks.py
+++ b/dunlinsaddle/records/chunks.py
@@ -1,4 +1,4 @@
-"""Lists of records cut into parts that each fit into one frame between nodes."""
+"""Splits lists of records into chunks that each fit into one frame between nodes."""
 
 from collections.abc import Iterator
 from typing import NamedTuple
@@ -19,15 +19,15 @@
 
 
 def split_into_chunks(entries: list[RecordEntry], since: int, upto: int) -> Iterator[Chunk]:
-    """Cut entries, sorted by version, into parts; there is always at least one."""
-    part: list[RecordEntry] = []
-    size = 0
+    """Split entries, sorted by version, into chunks; always yield at least one."""
+    chunk_entries: list[RecordEntry] = []
+    chunk_size = 0
     for entry in entries:
-        more = len(msgspec.msgpack.encode(entry))
-        if part and size + more > MAX_CHUNK_BYTES:
-            last = part[-1].version
-            yield Chunk(since, last, part)
-            since, part, size = last, [], 0
-        part.append(entry)
-        size += more
-    yield Chunk(since, upto, part)
+        entry_size = len(msgspec.msgpack.encode(entry))
+        if chunk_entries and chunk_size + entry_size > MAX_CHUNK_BYTES:
+            last_version = chunk_entries[-1].version
+            yield Chunk(since, last_version, chunk_entries)
+            since, chunk_entries, chunk_size = last_version, [], 0
+        chunk_entries.append(entry)
+        chunk_size += entry_size
+    yield Chunk(since, upto, chunk_entries)
--- a/dunlinsaddle/records/diff.py
+++ b/dunlinsaddle/records/diff.py
@@ -1,4 +1,4 @@
-"""Which fields differ between two documents of a record, whatever their schema versions."""
+"""Compares two documents of a record, whatever their schema versions."""
 
 from typing import Any
 
@@ -9,10 +9,10 @@
 
 
 def changed_fields(old: Any, new: Any) -> list[str]:
-    """Name the fields that differ, rules by their names; ``record`` for all of it.
+    """Return the names of the fields that differ, ``record`` if the whole record does.
 
-    Documents that can be read are compared by what they mean, so the same record in two
-    schema versions differs in ``schema`` alone.
+    Rules are listed by name. Valid documents are compared after decoding, so the same record
+    in two schema versions differs only in ``schema``.
     """
     if old is None or new is None:
         return [] if old is new else ['record']
@@ -24,13 +24,13 @@
 
 
 def _record_fields(old: ServiceRecord, new: ServiceRecord) -> list[str]:
-    plain = [n for n in ServiceRecord._fields if n not in ('rules', 'service')]
-    fields = [n for n in plain if getattr(old, n) != getattr(new, n)]
+    scalar_fields = [n for n in ServiceRecord._fields if n not in ('rules', 'service')]
+    fields = [n for n in scalar_fields if getattr(old, n) != getattr(new, n)]
     before = {rule.name: rule for rule in old.rules}
     after = {rule.name: rule for rule in new.rules}
     names = sorted(n for n in {*before, *after} if before.get(n) != after.get(n))
     fields += [f'requests.{name}' for name in names]
-    # The first rule that matches counts, so order alone can change what a record means.
+    # The first matching rule applies, so reordering alone can change which rule is used.
     if not names and list(before) != list(after):
         fields.append('requests')
     return fields
--- a/dunlinsaddle/records/history.py
+++ b/dunlinsaddle/records/history.py
@@ -1,4 +1,4 @@
-"""The audit trail: kept in the object that it tells of, its oldest part in objects beside it."""
+"""The audit trail of a record, stored in its object; the oldest entries in audit objects."""
 
 import itertools
 from typing import Any, NamedTuple, TypedDict
@@ -17,14 +17,14 @@
 
 RECORDS = 'records'
 AUDIT = 'audit'
-# The platform takes a megabyte, but a watch carries the whole object for each change, and a
-# fresh watcher reads the objects of all services at once.
+# The platform accepts a megabyte, but a watch sends the whole object on each change, and a new
+# watcher reads the objects of all services at once.
 MAX_HISTORY_BYTES = 16_384
 MIN_INLINE_ENTRIES = 2
 
 
 class ChangeEntry(TypedDict):
-    """One accepted change, as the audit trail keeps it. ``when`` in seconds since 1970."""
+    """One accepted change as stored. ``when`` is in seconds since the Unix epoch."""
 
     id: str
     who: str
@@ -37,9 +37,9 @@
 
 
 class RecordObject(TypedDict):
-    """What the platform holds for a service.
+    """The object stored for a service.
 
-    ``archived`` counts the audit objects that the oldest entries were moved to.
+    ``archived`` is the number of audit objects that the oldest entries were moved to.
     """
 
     record: Any
@@ -48,7 +48,7 @@
 
 
 class AuditLine(NamedTuple):
-    """One accepted change as operators read it, from version to version."""
+    """One accepted change as shown to operators, with the versions before and after it."""
 
     service: str
     id: str
@@ -61,42 +61,43 @@
     deleted: bool
 
 
-def read_record_object(held: StoredObject | None) -> RecordObject:
-    """Read an object that may have been written by hand; what is missing is empty."""
-    value = held.value if held is not None and isinstance(held.value, dict) else {}
+def read_record_object(stored: StoredObject | None) -> RecordObject:
+    """Decode an object that may have been written by hand; missing fields are empty."""
+    value = stored.value if stored is not None and isinstance(stored.value, dict) else {}
     return RecordObject(
         record=value.get('record'),
-        history=_entries(value.get('history', [])),
+        history=_entries_if_valid(value.get('history', [])),
         archived=value.get('archived', 0),
     )
 
 
-def entries_after(held: StoredObject, version: int) -> list[ChangeEntry]:
-    """Give the changes that came after a version."""
-    return [e for e in read_record_object(held)['history'] if e['before'] >= version]
+def entries_after(stored: StoredObject, version: int) -> list[ChangeEntry]:
+    """Return the changes made after a version."""
+    return [e for e in read_record_object(stored)['history'] if e['before'] >= version]
 
 
-def resulting_version(held: StoredObject, change_id: str) -> int:
-    """Give the version that a change led to.
+def resulting_version(stored: StoredObject, change_id: str) -> int:
+    """Return the version that a change created.
 
-    Every write of the object is one change on the condition of the version before, so the
-    next entry's ``before`` is it; the last entry led to what stands there.
+    Every write of the object is one change conditional on the previous version, so the next
+    entry's ``before`` is that version; the last entry created the current version.
     """
-    history = read_record_object(held)['history']
+    history = read_record_object(stored)['history']
     for entry, following in itertools.pairwise(history):
         if entry['id'] == change_id:
             return following['before']
-    return held.version
+    return stored.version
 
 
 async def archive_oldest_entries(
     store: ObjectStore, service: str, value: RecordObject, max_bytes: int = MAX_HISTORY_BYTES
 ) -> Result[RecordObject, StoreError]:
-    """Move the oldest entries to an audit object when the history has grown too long.
+    """Move the oldest entries to an audit object when the history exceeds ``max_bytes``.
 
-    The copy is written first and created only if absent, and the entries leave the record in
-    the same write as the change: whoever fails in between leaves them in both places, where
-    reading counts them once, and the next writer takes the copy that stands there.
+    The audit object is written first, only if it does not exist, and the entries are removed
+    from the record in the same write as the change. A writer that fails in between leaves them
+    in both objects: the trail is still read from the record, and the next writer reuses the
+    existing audit object.
     """
     history = value['history']
     if len(msgspec.json.encode(history)) <= max_bytes or len(history) <= MIN_INLINE_ENTRIES:
@@ -107,7 +108,7 @@
         case Ok(_):
             pass
         case Err(Conflict(current)) if current is not None:
-            moved = _entries((current.value or {}).get('history', []))
+            moved = _entries_if_valid((current.value or {}).get('history', []))
         case Err(error):
             return Err(error)
     ids = [e['id'] for e in moved]
@@ -123,13 +124,13 @@
 async def read_history(
     store: ObjectStore, service: str
 ) -> Result[list[AuditLine] | None, Unavailable]:
-    """Read all changes of a record, the oldest first; None where there never was one."""
+    """Return all changes of a record, oldest first; None if it never existed."""
     match await store.get(RECORDS, service):
         case Ok(None):
             return Ok(None)
-        case Ok(held):
-            assert held is not None
-            return await _whole(store, held, 0.0)
+        case Ok(stored):
+            assert stored is not None
+            return await _read_full_history(store, stored, 0.0)
         case Err(error):
             return Err(error)
 
@@ -137,45 +138,45 @@
 async def read_audit(
     store: ObjectStore, since: float = 0.0
 ) -> Result[list[AuditLine], Unavailable]:
-    """Read the changes of all records from a moment on, the oldest first."""
+    """Return the changes of all records since a Unix time in seconds, oldest first."""
     match await store.list(RECORDS):
         case Ok(listing):
             pass
         case Err(error):
             return Err(error)
-    found: list[AuditLine] = []
-    for held in listing.objects:
-        match await _whole(store, held, since):
+    audit_lines: list[AuditLine] = []
+    for stored in listing.objects:
+        match await _read_full_history(store, stored, since):
             case Ok(lines):
-                found += [line for line in lines if line.when >= since]
+                audit_lines += [line for line in lines if line.when >= since]
             case Err(error):
                 return Err(error)
-    return Ok(sorted(found, key=lambda line: (line.when, line.after)))
+    return Ok(sorted(audit_lines, key=lambda line: (line.when, line.after)))
 
 
-async def _whole(
-    store: ObjectStore, held: StoredObject, since: float
+async def _read_full_history(
+    store: ObjectStore, stored: StoredObject, since: float
 ) -> Result[list[AuditLine], Unavailable]:
-    """Read the trail of a record, its audit objects only as far back as is asked for."""
-    obj = read_record_object(held)
-    entries = obj['history']
-    for number in reversed(range(obj['archived'])):
+    """Return the trail of a record, reading audit objects only back to ``since``."""
+    record_object = read_record_object(stored)
+    entries = record_object['history']
+    for number in reversed(range(record_object['archived'])):
         if entries and entries[0]['when'] < since:
             break
-        match await store.get(AUDIT, f'{held.name}.{number}'):
+        match await store.get(AUDIT, f'{stored.name}.{number}'):
             case Ok(part):
-                older = _entries((part.value or {}).get('history', [])) if part else []
+                older = _entries_if_valid((part.value or {}).get('history', [])) if part else []
                 entries = [*older, *entries]
             case Err(error):
                 return Err(error)
-    return Ok(_lines(held, entries))
+    return Ok(_to_audit_lines(stored, entries))
 
 
-def _lines(held: StoredObject, entries: list[ChangeEntry]) -> list[AuditLine]:
-    afters = [*(e['before'] for e in entries[1:]), held.version]
+def _to_audit_lines(stored: StoredObject, entries: list[ChangeEntry]) -> list[AuditLine]:
+    versions_after = [*(e['before'] for e in entries[1:]), stored.version]
     return [
         AuditLine(
-            held.name,
+            stored.name,
             entry['id'],
             entry['who'],
             entry['why'],
@@ -185,22 +186,22 @@
             entry['changed'],
             entry['deleted'],
         )
-        for entry, after in zip(entries, afters, strict=True)
+        for entry, after in zip(entries, versions_after, strict=True)
     ]
 
 
-def is_history_readable(held: StoredObject | None) -> bool:
-    """Say whether the trail of a record can be read, and so be added to without a loss."""
-    value = held.value if held is not None else None
+def is_history_readable(stored: StoredObject | None) -> bool:
+    """Return whether all entries of a trail can be decoded, so that appending loses none."""
+    value = stored.value if stored is not None else None
     if value is None:
         return True
-    return isinstance(value, dict) and len(_entries(value.get('history', []))) == len(
+    return isinstance(value, dict) and len(_entries_if_valid(value.get('history', []))) == len(
         value.get('history', [])
     )
 
 
-def _entries(raw: Any) -> list[ChangeEntry]:
-    """Check entries and give them as they are: a newer program's further fields must stay."""
+def _entries_if_valid(raw: Any) -> list[ChangeEntry]:
+    """Validate entries and return them unchanged, to keep fields added by newer versions."""
     try:
         msgspec.convert(raw, list[ChangeEntry])
     except msgspec.ValidationError:
--- a/dunlinsaddle/records/models.py
+++ b/dunlinsaddle/records/models.py
@@ -1,11 +1,11 @@
-"""The typed record of one service, as every part of a node reads it."""
+"""Decoded records of services, used by all parts of a node."""
 
 from enum import IntEnum, StrEnum
 from typing import Any, NamedTuple
 
 
 class Rank(IntEnum):
-    """How much a request is valued. The smallest value is shed last."""
+    """Priority of a request. The smallest value is shed last."""
 
     CRITICAL = 0
     HIGH = 1
@@ -14,17 +14,17 @@
 
 
 class Mode(StrEnum):
-    """Whether decisions for a service are only counted or also carried out."""
+    """Whether admission decisions for a service are only counted or also enforced."""
 
     OBSERVE = 'observe'
     ENFORCE = 'enforce'
 
 
 class RequestRule(NamedTuple):
-    """Which requests of a service a rule covers, and what they are worth.
+    """Priority and idempotency of the requests that match a method and a path.
 
-    ``path`` is a pattern below the service's prefix; ``*`` stands for one segment and a
-    trailing ``**`` for any rest.
+    ``path`` is a pattern below the service's prefix; ``*`` matches one segment and a trailing
+    ``**`` matches any remainder.
     """
 
     name: str
@@ -35,23 +35,23 @@
 
 
 class ServiceRecord(NamedTuple):
-    """What operators say of one service. Times in seconds."""
+    """Settings of one service, written by operators. Times in seconds."""
 
     service: str
     schema: int
     mode: Mode = Mode.ENFORCE
     rules: tuple[RequestRule, ...] = ()
-    deadline: float = 10.0  #: when a caller names none
-    retry_bound: int = 2  #: resends of one root request over its whole chain
-    slots: int = 0  #: first guess of a target's concurrency; 0 means none
-    connections: int = 1000  #: the most calls a target is ever given at once
-    resend_ratio: float = 0.2  #: share of a caller's calls that may be resends
+    deadline: float = 10.0  #: used when the caller sends none
+    retry_bound: int = 2  #: maximum resends of one root request over all its hops
+    slots: int = 0  #: initial concurrency limit of a target; 0 for none
+    connections: int = 1000  #: maximum concurrent calls to a target
+    resend_ratio: float = 0.2  #: maximum share of a caller's calls that may be resends
     recovery_bias: float = 0.5  #: 0 favours goodput, 1 favours fast recovery
-    key_window: float = 900.0  #: for how long an idempotency key is remembered
+    key_window: float = 900.0  #: how long an idempotency key is remembered
 
 
 class VersionedRecord(NamedTuple):
-    """A record as the platform holds it; ``record`` is None once it is deleted."""
+    """A decoded record and its version; ``record`` is None once it is deleted."""
 
     service: str
     version: int
@@ -59,7 +59,7 @@
 
 
 class RecordEntry(NamedTuple):
-    """A record as nodes pass it on: the document as written, None once it is deleted."""
+    """A record as sent between nodes: the document as written, None once it is deleted."""
 
     service: str
     version: int
--- a/dunlinsaddle/records/record_cache.py
+++ b/dunlinsaddle/records/record_cache.py
@@ -1,4 +1,4 @@
-"""The records in force at a node: the highest version ever seen of each, deletions too."""
+"""The records in force at a node: the highest version seen of each, including deletions."""
 
 import time
 from collections.abc import Callable, Iterable
@@ -11,16 +11,16 @@
 
 
 class Unreadable(NamedTuple):
-    """A newer version of a record that this node cannot read, and why."""
+    """A newer version of a record that this node cannot decode, and the reason."""
 
     version: int
     why: str
 
 
 class RecordCache:
-    """Keeps the newest version of each record, and never goes back.
+    """Holds the newest version of each record and never reverts to an older one.
 
-    ``complete_revision`` is the platform's counter up to which every change is known here.
+    ``complete_revision`` is the store version up to which every change is known here.
     """
 
     def __init__(
@@ -35,20 +35,20 @@
         self._documents: dict[str, RecordEntry] = {}
 
     def update(self, entry: VersionedRecord) -> bool:
-        """Take a decoded record if it is newer than what is held; say whether it was."""
+        """Store a decoded record if it is newer; return whether it was."""
         doc = encode_record(entry.record) if entry.record else None
         return self.update_entry(RecordEntry(entry.service, entry.version, doc))
 
     def update_entry(self, entry: RecordEntry) -> bool:
-        """Take a document if it is newer than what is held; say whether it was.
+        """Store a document if it is newer than the known one; return whether it was.
 
-        A late watch answer, an old peer or a replayed push brings old versions. Comparing
-        versions here, for deletions too, is the one place that keeps configuration from
-        reverting, whichever way it came. A document that cannot be read is kept for others,
-        who may read it, and the last good record stays in force.
+        A late watch response, an outdated peer or a replayed push delivers old versions. This
+        comparison, which covers deletions too, is the only check that prevents records from
+        reverting, whatever their source. A document that cannot be decoded is kept so that it
+        can be forwarded to nodes that may decode it; the last valid record stays in force.
         """
-        held = self._documents.get(entry.service)
-        if held is not None and held.version >= entry.version:
+        known = self._documents.get(entry.service)
+        if known is not None and known.version >= entry.version:
             return False
         self._documents[entry.service] = entry
         match decode_entry(entry, self.newest_schema):
@@ -61,29 +61,29 @@
         return True
 
     def mark_complete(self, since: int, upto: int) -> None:
-        """Note that all changes after ``since`` and up to ``upto`` have been taken.
+        """Record that all changes after ``since`` and up to ``upto`` have been stored.
 
-        With a gap before ``since`` nothing follows for ``upto``: a change in the gap would
-        never be asked for again.
+        Nothing is recorded if there is a gap before ``since``: the changes in the gap would
+        never be requested again.
         """
         if since <= self.complete_revision < upto:
             self.complete_revision = upto
 
     def find(self, service: str) -> ServiceRecord | None:
-        """Give the record in force, or None where there is none."""
+        """Return the record in force, or None."""
         entry = self._in_force.get(service)
         return entry.record if entry else None
 
     def version(self, service: str) -> int:
-        """Give the version in force of a record, 0 for none."""
+        """Return the version in force of a record, 0 if there is none."""
         entry = self._in_force.get(service)
         return entry.version if entry else 0
 
     def entries(self) -> Iterable[VersionedRecord]:
-        """Give all that is in force, deletions too."""
+        """Return everything in force, including deletions."""
         return self._in_force.values()
 
     def documents_after(self, version: int) -> list[RecordEntry]:
-        """Give the documents newer than ``version``, the oldest first."""
+        """Return the documents newer than ``version``, oldest first."""
         newer = [e for e in self._documents.values() if e.version > version]
         return sorted(newer, key=lambda e: e.version)
--- a/dunlinsaddle/records/schema.py
+++ b/dunlinsaddle/records/schema.py
@@ -1,4 +1,4 @@
-"""Schema versions 1 and 2 of a record: decoding, validation, and a document per version."""
+"""Schema versions 1 and 2 of a record: document types, decoding and validation."""
 
 from typing import Any, Literal, NamedTuple, NotRequired, Required, TypedDict
 
@@ -18,7 +18,7 @@
 NEWEST_SCHEMA = 2
 MAX_RULES = 200
 MAX_RETRY_BOUND = 10
-MAX_RECORD_BYTES = 32_768  #: so that one record always fits into one frame between nodes
+MAX_RECORD_BYTES = 32_768  #: so that a record always fits into one frame between nodes
 MAX_PRIORITY = 3
 
 
@@ -43,7 +43,7 @@
 
 
 class RuleV2(TypedDict, total=False):
-    """A rule in schema version 2: the rank is a word."""
+    """A rule in schema version 2: the priority is a name, in ``rank``."""
 
     name: Required[str]
     method: Required[str]
@@ -53,7 +53,7 @@
 
 
 class TargetsV2(TypedDict, total=False):
-    """What a record says of each target of its service."""
+    """Settings for each target of a service."""
 
     slots: int
     connections: int
@@ -91,9 +91,9 @@
 
 
 def decode_record(doc: Any, newest_schema: int = NEWEST_SCHEMA) -> Result[ServiceRecord, Failure]:
-    """Read a decoded JSON document of any known schema version.
+    """Convert a parsed JSON document of any supported schema version to a record.
 
-    Errors: ``INVALID_RECORD`` with the field that is wrong, ``NEWER_SCHEMA`` for a version
+    Errors: ``INVALID_RECORD`` with the invalid field, ``NEWER_SCHEMA`` for a version
     above ``newest_schema``.
     """
     if not isinstance(doc, dict):
@@ -108,11 +108,11 @@
                 f'schema: {schema} is newer than {newest_schema}, the newest known here',
             )
         )
-    return _decode_known(doc, schema)
+    return _decode_supported(doc, schema)
 
 
 def schema_version_of(doc: Any) -> int:
-    """Give the schema version that a document names, 0 for none."""
+    """Return the schema version of a document, 0 if it has none."""
     schema = doc.get('schema') if isinstance(doc, dict) else None
     return schema if isinstance(schema, int) and not isinstance(schema, bool) else 0
 
@@ -120,7 +120,7 @@
 def decode_entry(
     entry: RecordEntry, newest_schema: int = NEWEST_SCHEMA
 ) -> Result[VersionedRecord, Failure]:
-    """Read a document that must describe the service it is filed under."""
+    """Decode a document and check that it describes the service that it is stored under."""
     if entry.doc is None:
         return Ok(VersionedRecord(entry.service, entry.version, None))
     match decode_record(entry.doc, newest_schema):
@@ -132,26 +132,26 @@
             return Err(failure)
 
 
-def _decode_known(doc: dict[str, Any], schema: int) -> Result[ServiceRecord, Failure]:
+def _decode_supported(doc: dict[str, Any], schema: int) -> Result[ServiceRecord, Failure]:
     size = len(msgspec.json.encode(doc))
     if size > MAX_RECORD_BYTES:
         return _invalid(f'{size} bytes: expected at most {MAX_RECORD_BYTES}')
-    shape: Any = RecordV1 if schema == 1 else RecordV2
-    unknown = _unknown_field(doc, shape)
+    schema_type: Any = RecordV1 if schema == 1 else RecordV2
+    unknown = _unknown_field(doc, schema_type)
     if unknown is not None:
         return _invalid(f'{unknown}: not a field of schema {schema}')
     try:
-        typed = msgspec.convert(doc, shape)
+        converted = msgspec.convert(doc, schema_type)
     except msgspec.ValidationError as exc:
         return _invalid(str(exc))
-    problem = _priority_problem(typed) if schema == 1 else None
+    problem = _priority_problem(converted) if schema == 1 else None
     if problem:
         return _invalid(problem)
-    return _checked(_from_v1(typed) if schema == 1 else _from_v2(typed))
+    return _validate(_from_v1(converted) if schema == 1 else _from_v2(converted))
 
 
 def encode_record(record: ServiceRecord) -> RecordV2:
-    """Give the newest document form of a record."""
+    """Return the document of a record in the newest schema version."""
     return RecordV2(
         schema=2,
         service=record.service,
@@ -179,11 +179,11 @@
     return Err(Failure(ErrorKind.INVALID_RECORD, detail))
 
 
-def _unknown_field(doc: dict[str, Any], shape: Any) -> str | None:
-    """Name the first field that the schema does not have: a misspelt one must not be lost."""
-    rule_shape = RuleV1 if shape is RecordV1 else RuleV2
+def _unknown_field(doc: dict[str, Any], schema_type: Any) -> str | None:
+    """Return the first field that is not in the schema, so that misspelt ones are rejected."""
+    rule_type = RuleV1 if schema_type is RecordV1 else RuleV2
     for name in doc:
-        if name not in shape.__annotations__:
+        if name not in schema_type.__annotations__:
             return name
     targets = doc.get('targets')
     if isinstance(targets, dict):
@@ -195,7 +195,7 @@
         if not isinstance(rule, dict):
             continue
         for name in rule:
-            if name not in rule_shape.__annotations__:
+            if name not in rule_type.__annotations__:
                 return f'requests[{index}].{name}'
     return None
 
@@ -255,7 +255,7 @@
     )
 
 
-def _checked(record: ServiceRecord) -> Result[ServiceRecord, Failure]:
+def _validate(record: ServiceRecord) -> Result[ServiceRecord, Failure]:
     problem = _name_problem(record.service) or _bounds_problem(record) or _rules_problem(record)
     return _invalid(problem) if problem else Ok(record)
 
--- a/dunlinsaddle/records/sync.py
+++ b/dunlinsaddle/records/sync.py
@@ -1,9 +1,9 @@
-"""Brings every change of records from the platform to every node, through peers.
+"""Distributes changes of records from the platform to every node, through peers.
 
-Two watchers per failure domain wait at the platform; each pushes what changed down a tree over
-its own domain and to two members of every other one, which do the same in theirs. Slow exchanges
-with a few fixed peers repair what a push missed. Nothing here has to agree with anyone: a
-watcher too many costs a call, and one too few is found by the slow poll.
+Two watchers per failure domain watch the platform. Each pushes changes down a tree over its own
+domain and to two members of every other domain, which forward them in theirs. Periodic exchanges
+with a few fixed peers repair what a push missed. No agreement is needed: an extra watcher costs
+one more call to the platform, and a missing one is made up for by polling.
 """
 
 import asyncio
@@ -30,8 +30,8 @@
 MAX_EXCHANGE_ATTEMPTS = 3
 
 
-class _Choices(NamedTuple):
-    """Whom a version of the view makes watch, and exchange with this node."""
+class _PeerSelection(NamedTuple):
+    """The watchers and neighbours selected for a version of the membership view."""
 
     version: int
     watchers: list[str]
@@ -39,7 +39,7 @@
 
 
 class RecordSync:
-    """Keeps one node's book up to date."""
+    """Keeps the record cache of one node up to date."""
 
     def __init__(
         self,
@@ -61,51 +61,53 @@
         self.logger = logger
         self.timings = timings
         self.platform = PlatformState()
-        self.synced_at = float('-inf')  #: up to then every change is known here
+        self.synced_at = float('-inf')  #: time of the loop up to which every change is known here
         self._failures = 0
-        self._grace = WatchGrace(timings)
-        self._silent_until: dict[str, float] = {}
-        self._seen: dict[tuple[str, int, int], None] = {}
+        self._watch_grace = WatchGrace(timings)
+        self._skip_until: dict[str, float] = {}
+        self._seen_pushes: dict[tuple[str, int, int], None] = {}
         self._pushes: set[asyncio.Task[None]] = set()
-        self._choices = _Choices(-1, [], [])
+        self._selection = _PeerSelection(-1, [], [])
 
     async def run(self) -> None:
-        """Keep the book up to date until cancelled."""
-        # A fleet that starts as one must not ask the platform as one.
+        """Keep the record cache up to date until cancelled."""
+        # Nodes that start at the same time must not query the platform at the same time.
         await asyncio.sleep(self.rng.uniform(0, self.timings.startup_jitter))
-        await self._ask_some()
+        await self._pull_from_neighbours()
         try:
             async with asyncio.TaskGroup() as group:
-                group.create_task(self._repeat(self._ask_platform))
-                group.create_task(self._repeat(self._exchange))
+                group.create_task(self._run_repeatedly(self._query_platform))
+                group.create_task(self._run_repeatedly(self._exchange_with_neighbour))
         finally:
             for task in self._pushes:
                 task.cancel()
 
     def watchers(self) -> list[str]:
-        """Give the instances that should watch for this failure domain, as known here."""
-        return list(self._chosen().watchers)
+        """Return the instances that should watch for this failure domain, by this node's view."""
+        return list(self._select_peers().watchers)
 
-    def _chosen(self) -> _Choices:
-        """Choose anew only when the view has changed: it sorts all members by their hash."""
-        if self._choices.version != self.view.version:
+    def _select_peers(self) -> _PeerSelection:
+        """Return the selected peers; recompute only on a new view, as it sorts all members."""
+        if self._selection.version != self.view.version:
             local = self.local_member()
-            watchers = topology.watchers(local.domain, {*self._own(local), local.instance})
-            near = topology.neighbours(local, self._others())
-            self._choices = _Choices(self.view.version, watchers, near)
-        return self._choices
+            watchers = topology.watchers(
+                local.domain, {*self._domain_members(local), local.instance}
+            )
+            nearby = topology.neighbours(local, self._live_peers())
+            self._selection = _PeerSelection(self.view.version, watchers, nearby)
+        return self._selection
 
     def handle_frame(self, frame: RecordFrame) -> RecordsResponse | None:
-        """Take a frame from a peer; gives the answer to a question."""
+        """Handle a frame from a peer; return the response to a request."""
         match frame:
-            case RecordsRequest(id=number, since=since):
-                return self._answer(number, since)
+            case RecordsRequest(id=request_id, since=since):
+                return self._build_response(request_id, since)
             case RecordsPush():
-                self._take_push(frame)
+                self._handle_push(frame)
         return None
 
     def status(self) -> dict[str, Any]:
-        """Give what an operator wants to know of records and the platform at this node."""
+        """Return the state of records and of the platform at this node, for operators."""
         seconds = _now() - self.platform.changed_at
         state = {None: 'not asked', True: 'reachable', False: 'lost'}[self.platform.reachable]
         record_cache = self.record_cache
@@ -118,7 +120,7 @@
                 for e in record_cache.entries()
             },
             'unreadable': {
-                name: found._asdict() for name, found in record_cache.unreadable.items()
+                name: entry._asdict() for name, entry in record_cache.unreadable.items()
             },
             'revision': record_cache.complete_revision,
             'platform': {'state': state, 'for_seconds': round(seconds, 1)},
@@ -128,71 +130,74 @@
     async def survey_members(
         self, max_per_domain: int = 8
     ) -> dict[str, list[RecordsResponse | None]]:
-        """Ask up to ``max_per_domain`` members of each failure domain how far they are."""
+        """Query up to ``max_per_domain`` members of each failure domain for their revision."""
         by_domain: dict[str, list[Member]] = {}
-        for member in self._others():
+        for member in self._live_peers():
             by_domain.setdefault(member.domain, []).append(member)
-        asked = [
+        sampled = [
             (domain, member)
             for domain, members in by_domain.items()
             for member in self.rng.sample(members, min(max_per_domain, len(members)))
         ]
         upto = self.record_cache.complete_revision
-        answers = await asyncio.gather(
-            *(self.links.fetch_records(m.peers, RecordsRequest(0, upto), 0.5) for _, m in asked)
+        responses = await asyncio.gather(
+            *(self.links.fetch_records(m.peers, RecordsRequest(0, upto), 0.5) for _, m in sampled)
         )
-        found: dict[str, list[RecordsResponse | None]] = {}
-        for (domain, _), answer in zip(asked, answers, strict=True):
-            found.setdefault(domain, []).append(answer)
-        return found
+        responses_by_domain: dict[str, list[RecordsResponse | None]] = {}
+        for (domain, _), response in zip(sampled, responses, strict=True):
+            responses_by_domain.setdefault(domain, []).append(response)
+        return responses_by_domain
 
-    def _answer(self, number: int, since: int) -> RecordsResponse:
+    def _build_response(self, request_id: int, since: int) -> RecordsResponse:
         upto = self.record_cache.complete_revision
         age = _now() - self.synced_at
         entries = self.record_cache.documents_after(since)
         chunk = next(split_into_chunks(entries, since, max(upto, since)))
-        more = chunk.upto < upto
-        return RecordsResponse(number, min(chunk.upto, upto), age, more, chunk.entries)
+        has_more = chunk.upto < upto
+        return RecordsResponse(request_id, min(chunk.upto, upto), age, has_more, chunk.entries)
 
-    def _take_push(self, push: RecordsPush) -> None:
-        new = self._take_entries(push.entries)
+    def _handle_push(self, push: RecordsPush) -> None:
+        new = self._store_entries(push.entries)
         self.record_cache.mark_complete(push.since, push.upto)
         local = self.local_member()
-        if push.domain == local.domain and push.tree_root and self._first(push):
+        if push.domain == local.domain and push.tree_root and self._is_first_delivery(push):
             self._push(self._children(local.instance, push.tree_root), push)
         if not new:
             return
         if push.domain != local.domain:
-            # This domain may be cut off from the platform: what came in is for all of it.
-            passed = RecordsPush(push.since, push.upto, local.domain, local.instance, push.entries)
-            self._push(self._children(local.instance, local.instance), passed)
-        # A node that is frozen, its links still open, ends a tree without a sign. News that
-        # also goes from neighbour to neighbour gets round it without waiting for an exchange.
-        near = [m for m in self._neighbours() if m.domain == local.domain]
-        self._push(near, RecordsPush(push.since, push.upto, local.domain, '', push.entries))
-
-    def _first(self, push: RecordsPush) -> bool:
-        """Say whether a push comes down its tree for the first time.
-
-        Not whether it brought news: two trees of different shape reach each node, and one that
-        ended where the other was faster would not go round a node that is dead in that one.
+            # This domain may be cut off from the platform, so forward the push to all of it.
+            forwarded = RecordsPush(
+                push.since, push.upto, local.domain, local.instance, push.entries
+            )
+            self._push(self._children(local.instance, local.instance), forwarded)
+        # A frozen node whose links are still open drops pushes without an error. Forwarding
+        # changes to neighbours too reaches the nodes below it before the next exchange.
+        nearby = [m for m in self._neighbours() if m.domain == local.domain]
+        self._push(nearby, RecordsPush(push.since, push.upto, local.domain, '', push.entries))
+
+    def _is_first_delivery(self, push: RecordsPush) -> bool:
+        """Return whether a push arrives through its tree for the first time.
+
+        A push is forwarded even if it contains nothing new: two trees of different shape reach
+        each node. If one tree stopped where the other was faster, it would not reach the nodes
+        below a node that is dead in the other tree.
         """
         key = (push.tree_root, push.since, push.upto)
-        if key in self._seen:
+        if key in self._seen_pushes:
             return False
-        self._seen[key] = None
-        if len(self._seen) > MAX_SEEN_PUSHES:
-            self._seen.pop(next(iter(self._seen)))
+        self._seen_pushes[key] = None
+        if len(self._seen_pushes) > MAX_SEEN_PUSHES:
+            self._seen_pushes.pop(next(iter(self._seen_pushes)))
         return True
 
     def _children(self, instance: str, root: str) -> list[Member]:
-        """Give those whom an instance serves in the tree of ``root`` over this domain."""
+        """Return the children of an instance in the tree of ``root`` over this domain."""
         local = self.local_member()
-        own = self._own(local)
-        names = topology.children(root, {*own, local.instance}, instance)
-        return [own[name] for name in names if name in own]
+        domain_members = self._domain_members(local)
+        names = topology.children(root, {*domain_members, local.instance}, instance)
+        return [domain_members[name] for name in names if name in domain_members]
 
-    def _take_entries(self, entries: Iterable[RecordEntry]) -> list[RecordEntry]:
+    def _store_entries(self, entries: Iterable[RecordEntry]) -> list[RecordEntry]:
         new = [entry for entry in entries if self.record_cache.update_entry(entry)]
         for entry in new:
             self.logger.info(
@@ -200,16 +205,16 @@
             )
         return new
 
-    async def _repeat(self, step: Callable[[], Awaitable[None]]) -> None:
+    async def _run_repeatedly(self, step: Callable[[], Awaitable[None]]) -> None:
         while True:
             try:
                 await step()
             except Exception:
-                # A fault in one round must not leave the node with old records for ever.
-                self.logger.exception('fault while synchronising records')
+                # An error in one iteration must not stop the synchronisation for good.
+                self.logger.exception('error while synchronising records')
                 await asyncio.sleep(self.timings.max_backoff)
 
-    async def _ask_platform(self) -> None:
+    async def _query_platform(self) -> None:
         if self.local_member().instance in self.watchers():
             await self._watch(self.timings.watch_timeout)
         elif _now() - self.synced_at > self.timings.stale_after:
@@ -218,13 +223,13 @@
             await asyncio.sleep(self.timings.watch_timeout * self.rng.uniform(0.2, 0.4))
 
     async def _poll_when_stale(self) -> None:
-        """Ask the platform when peers have brought nothing certain for long.
+        """Query the platform when peers have not confirmed the records for a long time.
 
-        All members of a cut-off domain come here at once, so each waits longer the more of
-        them there are: the platform's load stays the same however large the domain is.
+        All members of a disconnected domain get here at the same time. Each waits in proportion
+        to the number of members, so that the load on the platform does not grow with it.
         """
         local = self.local_member()
-        members = 1 + len(self._own(local))
+        members = 1 + len(self._domain_members(local))
         await asyncio.sleep(
             members * self.timings.poll_delay_per_member * self.rng.uniform(0.5, 1.5)
         )
@@ -233,33 +238,39 @@
 
     async def _watch(self, timeout: float) -> None:
         since = self.record_cache.complete_revision
-        began = _now()
-        result = await self.store.watch(RECORDS, since, timeout, self._grace.seconds)
-        took = _now() - began
-        self._grace.update(took - timeout, answered=isinstance(result, Ok))
+        started_at = _now()
+        result = await self.store.watch(RECORDS, since, timeout, self._watch_grace.seconds)
+        elapsed = _now() - started_at
+        self._watch_grace.update(elapsed - timeout, answered=isinstance(result, Ok))
         match result:
             case Ok(listing):
                 self._failures = 0
                 self.platform.record_result(_now(), True)
-                self._take_listing(since, listing)
-                # A platform that answers at once, with nothing new, must not be asked in a spin.
-                if took < self.timings.initial_backoff and not listing.objects:
+                self._handle_listing(since, listing)
+                # Do not query a platform that responds at once with no change in a busy loop.
+                if elapsed < self.timings.initial_backoff and not listing.objects:
                     await asyncio.sleep(self.timings.initial_backoff)
             case Err(error):
                 await self._back_off(error)
 
-    def _take_listing(self, since: int, listing: Listing) -> None:
+    def _handle_listing(self, since: int, listing: Listing) -> None:
         entries = sorted(map(entry_from_object, listing.objects), key=lambda e: e.version)
-        new = self._take_entries(entries)
+        new = self._store_entries(entries)
         self.record_cache.mark_complete(since, listing.version)
         self.synced_at = _now()
         if not new:
             return
         local = self.local_member()
-        # All of them, not just the new: a push says that nothing is missing up to its end.
+        # Push all entries, not only new ones: a push claims to contain all changes up to ``upto``.
         for chunk in split_into_chunks(entries, since, listing.version):
             push = RecordsPush(chunk.since, chunk.upto, local.domain, local.instance, chunk.entries)
-            self._push([*self._children(local.instance, local.instance), *self._reach(local)], push)
+            self._push(
+                [
+                    *self._children(local.instance, local.instance),
+                    *self._sample_remote_domains(local),
+                ],
+                push,
+            )
 
     async def _back_off(self, error: Unavailable) -> None:
         if self._failures == 0:
@@ -269,10 +280,10 @@
         self._failures = min(self._failures + 1, 10)
         await asyncio.sleep(delay * self.rng.uniform(0.5, 1.0))
 
-    def _reach(self, local: Member) -> list[Member]:
-        """Give some members of each other failure domain."""
+    def _sample_remote_domains(self, local: Member) -> list[Member]:
+        """Return some members of each other failure domain."""
         by_domain: dict[str, list[Member]] = {}
-        for member in self._others():
+        for member in self._live_peers():
             if member.domain != local.domain:
                 by_domain.setdefault(member.domain, []).append(member)
         return [
@@ -288,16 +299,16 @@
             task.add_done_callback(self._pushes.discard)
 
     async def _push_to(self, member: Member, push: RecordsPush) -> None:
-        reached = await self.links.notify(member.peers, push)
+        delivered = await self.links.notify(member.peers, push)
         if (
-            not reached
+            not delivered
             and push.tree_root
             and member.domain == push.domain == self.local_member().domain
         ):
-            # A dead node serves nobody, so those below it would wait for the next exchange.
+            # A dead node forwards nothing: push to its children now, not at the next exchange.
             self._push(self._children(member.instance, push.tree_root), push)
 
-    async def _exchange(self) -> None:
+    async def _exchange_with_neighbour(self) -> None:
         await asyncio.sleep(self.timings.exchange_interval * self.rng.uniform(0.5, 1.0))
         for _ in range(MAX_EXCHANGE_ATTEMPTS):
             neighbours = self._neighbours()
@@ -306,30 +317,30 @@
             member = self.rng.choice(neighbours)
             if await self._pull(member):
                 return
-            self._silent_until[member.instance] = _now() + self.timings.unresponsive_seconds
+            self._skip_until[member.instance] = _now() + self.timings.unresponsive_seconds
 
-    async def _ask_some(self) -> None:
-        # One old peer alone would leave a fresh node behind; the highest of several goes.
+    async def _pull_from_neighbours(self) -> None:
+        # A single peer may be outdated; with several, the highest version is kept.
         await asyncio.gather(*(self._pull(m) for m in self._neighbours()))
 
     async def _pull(self, member: Member) -> bool:
-        """Take what a peer has and this node lacks, and send it what it lacks itself."""
+        """Fetch the records missing here from a peer, and push those that it is missing."""
         while True:
             since = self.record_cache.complete_revision
             request = RecordsRequest(0, since)
-            answer = await self.links.fetch_records(
+            response = await self.links.fetch_records(
                 member.peers, request, self.timings.response_timeout
             )
-            if answer is None:
+            if response is None:
                 return False
-            self._take_entries(answer.entries)
-            self.record_cache.mark_complete(since, answer.upto)
-            if not answer.has_more or answer.upto <= since:
+            self._store_entries(response.entries)
+            self.record_cache.mark_complete(since, response.upto)
+            if not response.has_more or response.upto <= since:
                 break
-        if answer.upto >= self.record_cache.complete_revision:
-            self.synced_at = max(self.synced_at, _now() - answer.age_seconds)
+        if response.upto >= self.record_cache.complete_revision:
+            self.synced_at = max(self.synced_at, _now() - response.age_seconds)
         else:
-            self._push_missing(member, answer.upto)
+            self._push_missing(member, response.upto)
         return True
 
     def _push_missing(self, member: Member, upto: int) -> None:
@@ -341,22 +352,22 @@
             self._push([member], push)
 
     def _neighbours(self) -> list[Member]:
-        """Give the peers to exchange with.
+        """Return the peers to exchange with.
 
-        A peer that gave no answer is passed over for a while: with all of them dead and not
-        yet noticed, a node would hear nothing before its slow poll.
+        A peer that did not respond is skipped for a while. Otherwise a node whose fixed peers
+        are all dead, but not yet detected, would get no changes before its next poll.
         """
         now = _now()
-        self._silent_until = {i: t for i, t in self._silent_until.items() if t > now}
-        if not self._silent_until:
-            return list(self._chosen().neighbours)
-        answering = [m for m in self._others() if m.instance not in self._silent_until]
-        return topology.neighbours(self.local_member(), answering)
+        self._skip_until = {i: t for i, t in self._skip_until.items() if t > now}
+        if not self._skip_until:
+            return list(self._select_peers().neighbours)
+        responsive = [m for m in self._live_peers() if m.instance not in self._skip_until]
+        return topology.neighbours(self.local_member(), responsive)
 
-    def _own(self, local: Member) -> dict[str, Member]:
-        return {m.instance: m for m in self._others() if m.domain == local.domain}
+    def _domain_members(self, local: Member) -> dict[str, Member]:
+        return {m.instance: m for m in self._live_peers() if m.domain == local.domain}
 
-    def _others(self) -> Iterator[Member]:
+    def _live_peers(self) -> Iterator[Member]:
         instance = self.local_member().instance
         for member in self.view.members():
             if member.instance != instance and member.state not in (State.DEAD, State.LEFT):
--- a/dunlinsaddle/records/sync_parts.py
+++ b/dunlinsaddle/records/sync_parts.py
@@ -1,4 +1,4 @@
-"""What the spreading of records is set by, and what it is given."""
+"""Timings, transport interface and platform state used by record synchronisation."""
 
 from typing import NamedTuple, Protocol
 
@@ -6,63 +6,63 @@
 from dunlinsaddle.platform.store import WATCH_GRACE_SECONDS
 from dunlinsaddle.settings import Address
 
-TIMER_SLACK = 0.1  #: seconds by which a timer may fire early against the steady clock
+TIMER_SLACK = 0.1  #: seconds by which a timer may fire early compared with the monotonic clock
 
 
 class SyncTimings(NamedTuple):
-    """How often a node does what. Seconds."""
+    """Intervals, timeouts and backoffs of record synchronisation, in seconds."""
 
-    watch_timeout: float = 3.0  #: a connection gone silent is noticed within this and the grace
+    watch_timeout: float = 3.0  #: a dead connection is detected within this plus the grace
     watch_grace: float = WATCH_GRACE_SECONDS
     max_watch_grace: float = 30.0
     initial_backoff: float = 0.2
     max_backoff: float = 2.0
     exchange_interval: float = 2.0
     response_timeout: float = 1.0
-    unresponsive_seconds: float = 4.0  #: for so long a peer that gave no answer is not asked again
+    unresponsive_seconds: float = 4.0  #: for which a peer that did not respond is skipped
     startup_jitter: float = 0.3
     stale_after: float = 15.0
-    poll_delay_per_member: float = 2.0  #: keeps slow polls of one domain at one each two seconds
+    poll_delay_per_member: float = 2.0  #: limits a domain to one poll in two seconds on average
 
 
 class RecordTransport(Protocol):
-    """What is asked of the links to peers."""
+    """Interface of the links to peers."""
 
     async def fetch_records(
         self, address: Address, request: RecordsRequest, timeout: float
     ) -> RecordsResponse | None:
-        """Ask a peer for records; None when no answer comes."""
+        """Request records from a peer; return None if there is no response."""
 
     async def notify(self, address: Address, push: RecordsPush) -> bool:
-        """Send records to a peer; say whether there is a link to it."""
+        """Send records to a peer; return whether there is a link to it."""
 
 
 class PlatformState:
-    """Since when the platform answers or does not, as this node's own calls show."""
+    """Whether the platform responds to this node's calls, and since when."""
 
     def __init__(self) -> None:
         self.reachable: bool | None = None
         self.changed_at = 0.0
 
     def record_result(self, now: float, reachable: bool) -> None:
-        """Note the end of a call."""
+        """Record whether a call was answered."""
         if reachable is not self.reachable:
             self.reachable = reachable
             self.changed_at = now
 
 
 class WatchGrace:
-    """How much longer than it asked for a watch waits for its answer."""
+    """How long a watch waits for its response beyond the requested timeout, in seconds."""
 
     def __init__(self, timings: SyncTimings) -> None:
         self.timings = timings
         self.seconds = timings.watch_grace
 
     def update(self, overrun_seconds: float, *, answered: bool) -> None:
-        """Wait longer for a platform that is slow, and no longer than needed for a fast one.
+        """Adapt the grace to how late the last response was.
 
-        With one short bound a platform that is just slower would never be heard; with one
-        long bound a connection that went silent would hold up a node that has rejoined.
+        With a short fixed grace, no response of a slow platform would ever arrive in time;
+        with a long one, a dead connection would delay a node that has rejoined.
         """
         if answered and overrun_seconds >= 0:
             self.seconds = min(
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -1,14 +1,13 @@
-import socket
-import tempfile
-from pathlib import Path
 
 import msgspec
-from testtools import TestCase
-
+import socket
+import tempfile
 from dunlinsaddle.cli.core import COMMANDS
 from dunlinsaddle.exit_status import ExitStatus
+from pathlib import Path
 from tests.builders import build_document
 from tests.utils import NodeThread, run_cli
+from testtools import TestCase
 
 TOKEN = 'a-token-for-tests'
 
@@ -81,7 +80,7 @@
         self.cli('apply', self.write())
         self.cli('apply', self.write(deadline=2.0), '--who', 'bob')
         result = self.cli('apply', self.write(deadline=3.0), '--expected', '1')
-        self.assert_fails(result, ExitStatus.CONFLICT, 'version 2 stands there, changed by bob')
+        self.assert_fails(result, ExitStatus.CONFLICT, 'the current version is 2, changed by bob')
         self.assertIn('(deadline)', result.error)
 
     def test_lost_answer_is_settled_and_the_change_made_once(self):
--- a/tests/test_store_client.py
+++ b/tests/test_store_client.py
@@ -80,11 +80,11 @@
             platform.faults = {'delay': 6.0}
             task = asyncio.create_task(sync.run())
             await asyncio.sleep(60)
-            version, slow = sync.record_cache.version('cut-orders'), sync._grace.seconds
+            version, slow = sync.record_cache.version('cut-orders'), sync._watch_grace.seconds
             platform.faults = {}
             await asyncio.sleep(20)
             task.cancel()
-            return version, slow > 6, sync._grace.seconds
+            return version, slow > 6, sync._watch_grace.seconds
 
         self.assertEqual((2, True, 2.0), self.run_with_platform(scenario))
 
