--- a/dunlinsaddle/platform/units.py
+++ b/dunlinsaddle/platform/units.py
@@ -4,7 +4,7 @@
 def parse_seconds(text: object) -> float:
     """Parse a duration such as ``1500ms`` or ``2.5s``, in seconds. Raise ValueError if invalid.
 
-    >>> read_seconds('1500ms')
+    >>> parse_seconds('1500ms')
     1.5
     """
     if not isinstance(text, str):
@@ -23,7 +23,7 @@
 def parse_version(text: object) -> int:
     """Parse a configuration version such as ``r12``. Raise ValueError if invalid.
 
-    >>> read_version('r12')
+    >>> parse_version('r12')
     12
     """
     if not isinstance(text, str) or text[:1] != 'r' or not text[1:].isdecimal():
