--- a/dunlinsaddle/platform/configuration.py
+++ b/dunlinsaddle/platform/configuration.py
@@ -1,11 +1,22 @@
 """Decodes the operators' configuration, an object in the platform's store."""
+
+from typing import Annotated, Any, Literal
+
 import msgspec
-from dunlinsaddle.access.keys import key_digest
-from dunlinsaddle.platform.units import parse_seconds, parse_version
-from dunlinsaddle.routes.models import Configuration, Limits, Organisation, Quota, Route, ServiceSettings, WeightedService
 from msgspec import Meta
 from result import Err, Ok, Result
-from typing import Annotated, Any, Literal
+
+from dunlinsaddle.access.keys import key_digest
+from dunlinsaddle.platform.units import parse_seconds, parse_version
+from dunlinsaddle.routes.models import (
+    Configuration,
+    Limits,
+    Organisation,
+    Quota,
+    Route,
+    ServiceSettings,
+    WeightedService,
+)
 
 KIND = 'config'
 NAME = 'main'
--- a/dunlinsaddle/platform/heartbeats.py
+++ b/dunlinsaddle/platform/heartbeats.py
@@ -1,13 +1,16 @@
 """Decodes the heartbeats that a node receives from its local target."""
+
+from typing import Annotated, Literal
+from urllib.parse import unquote
+
 import msgspec
+from msgspec import Meta
+from result import Err, Ok, Result
+
 from dunlinsaddle.calls.http import HttpRequest, HttpResponse, json_response
 from dunlinsaddle.mesh.heartbeats import Deregistration, Heartbeat
 from dunlinsaddle.platform.units import parse_seconds
 from dunlinsaddle.settings import parse_address
-from msgspec import Meta
-from result import Err, Ok, Result
-from typing import Annotated, Literal
-from urllib.parse import unquote
 
 INSTANCES_PATH = '/instances/'
 
--- a/dunlinsaddle/platform/node_file.py
+++ b/dunlinsaddle/platform/node_file.py
@@ -1,10 +1,13 @@
 """Decodes the settings file that the platform writes for each process."""
+
+from typing import Any
+
 import msgspec
+from result import Err, Ok, Result
+
 from dunlinsaddle.mesh.settings import DeploymentLimits, MeshSettings
 from dunlinsaddle.platform.units import parse_seconds
 from dunlinsaddle.settings import SettingError, parse_address
-from result import Err, Ok, Result
-from typing import Any
 
 PEERS_PORT_OFFSET = 0  #: offset in the range of internal ports
 GOSSIP_PORT_OFFSET = 1
--- a/dunlinsaddle/platform/requests.py
+++ b/dunlinsaddle/platform/requests.py
@@ -1,13 +1,15 @@
 """Converts requests and responses between the platform's headers and internal types."""
+
 import math
 import re
+from typing import NamedTuple
+
 from dunlinsaddle.access.keys import key_digest
 from dunlinsaddle.calls.http import HttpRequest, HttpResponse, forwarded_headers
 from dunlinsaddle.calls.messages import Headers, Reply, refusal
-from dunlinsaddle.calls.target import AdvertisedState, NOTHING_ADVERTISED
+from dunlinsaddle.calls.target import NOTHING_ADVERTISED, AdvertisedState
 from dunlinsaddle.errors import ErrorKind, Failure, Outcome
 from dunlinsaddle.platform import headers as names
-from typing import NamedTuple
 
 _REPLACED_HEADERS = frozenset(
     {names.REMAINING_MILLISECONDS, names.CALLER_SERVICE, names.EXPECTED_TARGET}
--- a/dunlinsaddle/records/topology.py
+++ b/dunlinsaddle/records/topology.py
@@ -1,5 +1,7 @@
 """Selection of watchers, push trees and exchange peers by rendezvous hashing."""
+
 from collections.abc import Iterable
+
 from dunlinsaddle.membership.coordinators import rendezvous_score
 from dunlinsaddle.membership.view import Member
 
--- a/tests/fakes/records.py
+++ b/tests/fakes/records.py
@@ -1,6 +1,11 @@
 """Record synchronisation of nodes in memory, with network partitions and platform outages."""
+
 import asyncio
 from collections.abc import Callable
+from random import Random
+
+from result import Err, Result
+
 from dunlinsaddle.calls.client import CONNECT_TIMEOUT_SECONDS
 from dunlinsaddle.calls.messages import RecordFrame, RecordsPush, RecordsRequest, RecordsResponse
 from dunlinsaddle.membership.view import Member, MemberView
@@ -8,8 +13,6 @@
 from dunlinsaddle.records.record_cache import RecordCache
 from dunlinsaddle.records.sync import RecordSync
 from dunlinsaddle.settings import Address
-from random import Random
-from result import Err, Result
 from tests.builders import build_logger, build_member
 from tests.fakes.store import FakeStore
 
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -1,13 +1,14 @@
-
-import msgspec
 import socket
 import tempfile
+from pathlib import Path
+
+import msgspec
+from testtools import TestCase
+
 from dunlinsaddle.cli.core import COMMANDS
 from dunlinsaddle.exit_status import ExitStatus
-from pathlib import Path
 from tests.builders import build_document
 from tests.utils import NodeThread, run_cli
-from testtools import TestCase
 
 TOKEN = 'a-token-for-tests'
 
--- a/tests/test_schema.py
+++ b/tests/test_schema.py
@@ -1,12 +1,13 @@
+from random import Random
+
+from testtools import TestCase
 
 from dunlinsaddle.errors import ErrorKind
 from dunlinsaddle.records.diff import changed_fields
 from dunlinsaddle.records.models import Rank, RecordEntry
 from dunlinsaddle.records.record_cache import RecordCache
 from dunlinsaddle.records.schema import MAX_RECORD_BYTES, decode_record, encode_record
-from random import Random
 from tests.builders import build_document, build_record
-from testtools import TestCase
 
 OLD = {
     'schema': 1,
--- a/tests/test_sync.py
+++ b/tests/test_sync.py
@@ -1,5 +1,6 @@
-
 import asyncio
+from random import Random
+
 from dunlinsaddle.calls.messages import RecordsPush, RecordsRequest
 from dunlinsaddle.membership.roster import ROSTERS
 from dunlinsaddle.membership.view import State
@@ -8,7 +9,6 @@
 from dunlinsaddle.records.history import RECORDS
 from dunlinsaddle.records.models import RecordEntry
 from dunlinsaddle.records.topology import FANOUT, WATCHER_COUNT
-from random import Random
 from tests.builders import build_document, build_environment, build_logger, build_settings
 from tests.clock import PausedClockTest
 from tests.fakes.records import FakeFleet, FakeNode
