--- a/dunlinsaddle/calls/handlers.py
+++ b/dunlinsaddle/calls/handlers.py
@@ -27,9 +27,9 @@
 from dunlinsaddle.calls.messages import Reply, refusal
 from dunlinsaddle.calls.target import LocalTarget
 from dunlinsaddle.errors import ErrorKind, Failure, Outcome
-from dunlinsaddle.policy.callers import ResendGuard
 from dunlinsaddle.policy.classify import classify
 from dunlinsaddle.policy.context import MAX_HOPS, CallContext, inherit_priority, priority_of
+from dunlinsaddle.policy.resend_guard import ResendGuard
 from dunlinsaddle.policy.retry import RetryAllowance
 from dunlinsaddle.records.models import Mode, RequestRule, ServiceRecord
 from dunlinsaddle.records.record_cache import RecordCache
--- a/dunlinsaddle/mesh/ingress.py
+++ b/dunlinsaddle/mesh/ingress.py
@@ -27,8 +27,8 @@
 )
 from dunlinsaddle.policy.admission import Load
 from dunlinsaddle.policy.context import MAX_HOPS, CallContext, priority_of
-from dunlinsaddle.policy.costs import RequestCosts
-from dunlinsaddle.policy.outcomes import FailureThrottle
+from dunlinsaddle.policy.failure_throttle import FailureThrottle
+from dunlinsaddle.policy.request_costs import RequestCosts
 from dunlinsaddle.policy.retry_budget import RetryBudget
 from dunlinsaddle.records.models import Rank
 from dunlinsaddle.routes.config_follower import ConfigFollower
--- a/dunlinsaddle/mesh/target_status.py
+++ b/dunlinsaddle/mesh/target_status.py
@@ -7,7 +7,7 @@
 from dunlinsaddle.calls.messages import RelayedTargetState
 from dunlinsaddle.calls.target import NOTHING_ADVERTISED, AdvertisedState, LocalTarget
 from dunlinsaddle.loops import LoopBound
-from dunlinsaddle.policy.rate import MIN_RATE
+from dunlinsaddle.policy.rate_limit import MIN_RATE
 from dunlinsaddle.policy.slots import SlotAdmission
 
 
--- a/dunlinsaddle/policy/admission.py
+++ b/dunlinsaddle/policy/admission.py
@@ -11,10 +11,10 @@
 from sortedcontainers import SortedKeyList
 
 from dunlinsaddle.errors import ErrorKind, Failure
-from dunlinsaddle.policy.capacity import ObservedCapacity
+from dunlinsaddle.policy.concurrency_limit import INITIAL_LIMIT, AdaptiveLimit
 from dunlinsaddle.policy.context import LOWEST_LEVEL, SLOTS_PER_RANK
 from dunlinsaddle.policy.level import AdmittedLevel, ChainLevels, ReportedLevel
-from dunlinsaddle.policy.limit import INITIAL_LIMIT, AdaptiveLimit
+from dunlinsaddle.policy.observed_capacity import ObservedCapacity
 from dunlinsaddle.policy.retry_after import retry_after
 from dunlinsaddle.records.models import ServiceRecord
 
--- a/dunlinsaddle/policy/level.py
+++ b/dunlinsaddle/policy/level.py
@@ -12,9 +12,9 @@
 
 from dunlinsaddle.errors import ErrorKind, Failure
 from dunlinsaddle.policy.context import LOWEST_LEVEL, SLOTS_PER_RANK
+from dunlinsaddle.policy.demand_trend import MIN_DEMAND_RATIO, DemandTrend
 from dunlinsaddle.policy.retry_after import apply_jitter
 from dunlinsaddle.policy.sliding_minimum import SlidingMinimum
-from dunlinsaddle.policy.trend import MIN_DEMAND_RATIO, DemandTrend
 
 MIN_AVERAGING_SECONDS = 0.2  #: shortest averaging time of demand; see AVERAGED_CALLS
 MAX_AVERAGING_SECONDS = 0.5  #: longest averaging time; forgets a surge within one second
--- a/dunlinsaddle/policy/route.py
+++ b/dunlinsaddle/policy/route.py
@@ -6,7 +6,7 @@
 from typing import NamedTuple, TypedDict
 
 from dunlinsaddle.policy.admission import Load
-from dunlinsaddle.policy.pace import DECAY_SECONDS, RelativeLatencies
+from dunlinsaddle.policy.relative_latency import DECAY_SECONDS, RelativeLatencies
 
 #: One or two consecutive calls without an answer also happen at a healthy target that restarts.
 CONSECUTIVE_FAILURES_TO_EJECT = 3
--- a/dunlinsaddle/policy/slots.py
+++ b/dunlinsaddle/policy/slots.py
@@ -14,7 +14,7 @@
     Wait,
 )
 from dunlinsaddle.policy.level import AdmittedLevel
-from dunlinsaddle.policy.rate import RateLimit
+from dunlinsaddle.policy.rate_limit import RateLimit
 from dunlinsaddle.policy.retry_after import apply_jitter
 from dunlinsaddle.policy.wait_queue import QueuedWork, WaitQueue
 
--- a/dunlinsaddle/replay/current_node.py
+++ b/dunlinsaddle/replay/current_node.py
@@ -2,9 +2,9 @@
 
 from dunlinsaddle.errors import ErrorKind, Failure
 from dunlinsaddle.policy.admission import AdmissionPolicy, Load
-from dunlinsaddle.policy.callers import ResendGuard
 from dunlinsaddle.policy.level import ChainLevels
 from dunlinsaddle.policy.quarantine import DEATHS_TO_QUARANTINE, Quarantine, Quarantined
+from dunlinsaddle.policy.resend_guard import ResendGuard
 from dunlinsaddle.policy.retry import RetryAllowance, may_resend
 from dunlinsaddle.policy.route import Candidate, Router
 from dunlinsaddle.replay.attempt import (
--- a/tests/builders.py
+++ b/tests/builders.py
@@ -19,8 +19,8 @@
 from dunlinsaddle.platform.configuration import read_configuration
 from dunlinsaddle.platform.store import ObjectStore
 from dunlinsaddle.policy.admission import Ticket
+from dunlinsaddle.policy.concurrency_limit import AdaptiveLimit
 from dunlinsaddle.policy.context import CallContext, Priority
-from dunlinsaddle.policy.limit import AdaptiveLimit
 from dunlinsaddle.policy.retry import RetryAllowance
 from dunlinsaddle.records.changes import Change
 from dunlinsaddle.records.models import Rank, RequestRule, ServiceRecord
--- a/tests/fakes/deep_load.py
+++ b/tests/fakes/deep_load.py
@@ -12,9 +12,9 @@
 
 from dunlinsaddle.policy.admission import Load, Refuse, Sample, Ticket, Wait
 from dunlinsaddle.policy.context import LOWEST_LEVEL, SLOTS_PER_RANK, Priority
-from dunlinsaddle.policy.costs import RequestCosts
+from dunlinsaddle.policy.failure_throttle import FailureThrottle
 from dunlinsaddle.policy.level import ChainLevels, ReportedLevel
-from dunlinsaddle.policy.outcomes import FailureThrottle
+from dunlinsaddle.policy.request_costs import RequestCosts
 from dunlinsaddle.policy.retry_budget import RetryBudget
 from dunlinsaddle.policy.route import Candidate, Router
 from dunlinsaddle.policy.slots import SlotAdmission
--- a/tests/fakes/rated_load.py
+++ b/tests/fakes/rated_load.py
@@ -10,7 +10,7 @@
 from typing import NamedTuple
 
 from dunlinsaddle.policy.admission import Load, Sample, Ticket
-from dunlinsaddle.policy.rate import MIN_RATE
+from dunlinsaddle.policy.rate_limit import MIN_RATE
 from dunlinsaddle.policy.route import Candidate, Router
 from tests.builders import build_ticket
 from tests.fakes.slots_load import ByNode, Events
--- a/tests/test_limit.py
+++ b/tests/test_concurrency_limit.py
@@ -1,6 +1,6 @@
 from testtools import TestCase
 
-from dunlinsaddle.policy.limit import INITIAL_LIMIT, AdaptiveLimit
+from dunlinsaddle.policy.concurrency_limit import INITIAL_LIMIT, AdaptiveLimit
 from tests.builders import FakeServer
 
 
--- a/tests/test_outcomes.py
+++ b/tests/test_failure_throttle.py
@@ -2,7 +2,7 @@
 
 from testtools import TestCase
 
-from dunlinsaddle.policy.outcomes import MIN_ADMITTED_SHARE, FailureThrottle
+from dunlinsaddle.policy.failure_throttle import MIN_ADMITTED_SHARE, FailureThrottle
 from tests.mesh_case import MeshTest
 from tests.test_deep_load import ALIKE, ALIKE_SLOTS, ALL_SHED, shares
 
--- a/tests/test_rate.py
+++ b/tests/test_rate_limit.py
@@ -5,7 +5,7 @@
 from testtools import TestCase
 
 from dunlinsaddle.policy.admission import Refuse, Run, Sample, Wait
-from dunlinsaddle.policy.rate import BURST_SECONDS, MIN_RATE, RateLimit
+from dunlinsaddle.policy.rate_limit import BURST_SECONDS, MIN_RATE, RateLimit
 from dunlinsaddle.policy.slots import SlotAdmission
 from tests.builders import build_ticket
 
--- a/tests/test_callers.py
+++ b/tests/test_resend_guard.py
@@ -1,7 +1,7 @@
 from testtools import TestCase
 
 from dunlinsaddle.errors import ErrorKind
-from dunlinsaddle.policy.callers import BURST, ResendGuard
+from dunlinsaddle.policy.resend_guard import BURST, ResendGuard
 from dunlinsaddle.records.models import Rank
 
 
