--- a/dunlinsaddle/__init__.py
+++ b/dunlinsaddle/__init__.py
@@ -1,3 +1,3 @@
-"""Overload control for service call graphs: one small process beside each target."""
+"""Overload control for service call graphs: one small process next to each target."""
 
 __version__ = '0.1.0'
--- a/dunlinsaddle/admin.py
+++ b/dunlinsaddle/admin.py
@@ -1,38 +1,37 @@
-"""The operators' face: records, status, targets, metrics. A change goes to the platform."""
+"""The operators' HTTP API: records, status, targets and metrics.
 
+Changes to records are written to the platform.
+"""
 import hmac
+import msgspec
 import time
 from collections.abc import Callable
-from typing import Any
-from urllib.parse import parse_qs, unquote, urlsplit
-
-import msgspec
-from result import Err, Ok, Result
-
 from dunlinsaddle.calls.http import HttpRequest, HttpResponse, failure_response, json_response
 from dunlinsaddle.errors import ErrorKind, Failure, problem_document
 from dunlinsaddle.explain import ExplainRequest
 from dunlinsaddle.managed_node import ManagedNode
 from dunlinsaddle.platform.store import Unavailable
 from dunlinsaddle.queries import explain_request, known_targets, node_status
-from dunlinsaddle.records.changes import (
-    RETRY_AFTER_SECONDS,
-    Change,
-    Rejected,
-    apply_change,
-    entry_from_object,
-    validate_change,
-)
+from dunlinsaddle.records.changes import Change, RETRY_AFTER_SECONDS, Rejected, apply_change, entry_from_object, validate_change
 from dunlinsaddle.records.diff import changed_fields
 from dunlinsaddle.records.history import RECORDS, read_audit, read_history
 from dunlinsaddle.records.schema import encode_record
+from result import Err, Ok, Result
+from typing import Any
+from urllib.parse import parse_qs, unquote, urlsplit
 
 MAX_CHANGE_BYTES = 65_536
-LISTENER_HEADER = (b'dunlinsaddle-face', b'operators')  #: tells this face from the other three
+LISTENER_HEADER = (
+    b'dunlinsaddle-face',
+    b'operators',
+)  #: distinguishes this listener from the others
 
 
 class ChangeBody(msgspec.Struct, forbid_unknown_fields=True):
-    """The body of a change: ``record`` is null to delete, ``expected`` is the version read."""
+    """Body of a change request.
+
+    ``record`` is null for a deletion; ``expected`` is the version that the change is based on.
+    """
 
     record: Any
     expected: int
@@ -43,7 +42,7 @@
 
 
 class ExplainBody(msgspec.Struct, forbid_unknown_fields=True):
-    """The request that is to be explained."""
+    """Body of an explain request: the request whose handling is explained."""
 
     service: str
     method: str
@@ -51,24 +50,24 @@
 
 
 class OperatorHandler:
-    """Answers operators who hold the token."""
+    """Handles requests to the operators' API, which need the operator token."""
 
     def __init__(self, node: ManagedNode, wall_clock: Callable[[], float] = time.time) -> None:
         self.node = node
         self.wall_clock = wall_clock
 
     async def handle(self, req: HttpRequest) -> HttpResponse:
-        """Answer one request of an operator."""
-        response = await self._answer(req)
+        """Return the response to one request."""
+        response = await self._handle_request(req)
         return response._replace(headers=[*response.headers, LISTENER_HEADER])
 
-    async def _answer(self, req: HttpRequest) -> HttpResponse:
+    async def _handle_request(self, req: HttpRequest) -> HttpResponse:
         url = urlsplit(req.path)
         if url.path == '/health':
             return json_response({'ok': True})
-        want = f'Bearer {self.node.settings.operator_token}'
-        given = req.header(b'authorization')
-        if not hmac.compare_digest(want.encode(), given.encode('latin-1')):
+        expected = f'Bearer {self.node.settings.operator_token}'
+        received = req.header(b'authorization')
+        if not hmac.compare_digest(expected.encode(), received.encode('latin-1')):
             return failure_response(Failure(ErrorKind.UNAUTHORIZED, 'give the operator token'))
         if len(req.body) > MAX_CHANGE_BYTES:
             detail = f'{len(req.body)} bytes: expected at most {MAX_CHANGE_BYTES}'
@@ -76,17 +75,17 @@
         parts = [unquote(part) for part in url.path.strip('/').split('/')]
         match parts:
             case ['v1', 'records', *rest]:
-                return await self._records(req, rest)
+                return await self._handle_records(req, rest)
             case ['v1', *rest]:
-                return await self._others(req, rest, parse_qs(url.query))
+                return await self._handle_other(req, rest, parse_qs(url.query))
         return _not_found(req)
 
-    async def _records(self, req: HttpRequest, rest: list[str]) -> HttpResponse:
+    async def _handle_records(self, req: HttpRequest, rest: list[str]) -> HttpResponse:
         match (req.method, *rest):
             case ('GET',):
-                return json_response(self._in_force())
+                return json_response(self._records_in_force())
             case ('GET', service):
-                return await self._stored(service)
+                return await self._read_record(service)
             case ('PUT' | 'DELETE', service):
                 return await self._change(req, service)
             case ('POST', service, 'check'):
@@ -98,7 +97,7 @@
         known = len(rest) < 2 or (len(rest) == 2 and rest[1] in ('check', 'diff', 'history'))
         return _wrong_method(req) if known else _not_found(req)
 
-    async def _others(
+    async def _handle_other(
         self, req: HttpRequest, rest: list[str], query: dict[str, list[str]]
     ) -> HttpResponse:
         match (req.method, *rest):
@@ -126,7 +125,7 @@
         ) or rest[:1] == ['history']
         return _wrong_method(req) if known else _not_found(req)
 
-    def _in_force(self) -> list[dict[str, Any]]:
+    def _records_in_force(self) -> list[dict[str, Any]]:
         record_cache = self.node.record_cache
         return [
             {
@@ -140,8 +139,8 @@
             if e.record
         ]
 
-    async def _stored(self, service: str) -> HttpResponse:
-        """Answer with what the platform holds, or with what is in force while it is out."""
+    async def _read_record(self, service: str) -> HttpResponse:
+        """Return the record from the platform, or this node's copy if it is unreachable."""
         match await self.node.store.get(RECORDS, service):
             case Ok(None):
                 return _unknown(service)
@@ -154,7 +153,7 @@
             case Err(_):
                 record = self.node.record_cache.find(service)
                 if record is None:
-                    return _unavailable(Unavailable('and this node holds no such record'))
+                    return _unavailable(Unavailable('this node has no copy of the record either'))
                 version = self.node.record_cache.version(service)
                 doc = encode_record(record)
                 return json_response({'version': version, 'record': doc, 'source': 'node'})
@@ -178,7 +177,7 @@
                 return _rejection(rejected)
 
     async def _check(self, req: HttpRequest, service: str) -> HttpResponse:
-        """Say whether a change would be accepted, and write nothing."""
+        """Check whether a change would be accepted, without writing it."""
         match self._read_change(req, service):
             case Ok(change):
                 pass
@@ -196,7 +195,7 @@
                 return _unavailable(error)
 
     async def _diff(self, req: HttpRequest, service: str) -> HttpResponse:
-        """Compare a document with what the platform holds."""
+        """Compare a document with the record stored at the platform."""
         match _read_json(req):
             case Ok(doc):
                 pass
@@ -219,11 +218,15 @@
         except (msgspec.MsgspecError, UnicodeError, RecursionError) as exc:
             return Err(Failure(ErrorKind.INVALID_RECORD, str(exc)))
         if not body.id:
-            # Without an id of the operator's own a resend could not be told from a new change.
-            return Err(Failure(ErrorKind.INVALID_RECORD, 'id: expected a unique text per change'))
+            # The id tells a resent change from a new one.
+            return Err(
+                Failure(ErrorKind.INVALID_RECORD, 'id: expected a unique id for each change')
+            )
         doc = None if req.method == 'DELETE' else body.record
         if req.method == 'PUT' and doc is None:
-            return Err(Failure(ErrorKind.INVALID_RECORD, 'record: missing; DELETE takes it away'))
+            return Err(
+                Failure(ErrorKind.INVALID_RECORD, 'record: missing; use DELETE to remove a record')
+            )
         return Ok(
             Change(
                 body.id,
@@ -248,40 +251,40 @@
 
     async def _audit(self, since: str) -> HttpResponse:
         try:
-            moment = float(since)
+            since_time = float(since)
         except ValueError:
             detail = f'since: {since!r}: expected seconds since 1970'
             return failure_response(Failure(ErrorKind.MALFORMED_REQUEST, detail))
-        match await read_audit(self.node.store, moment):
+        match await read_audit(self.node.store, since_time):
             case Ok(lines):
                 return json_response([line._asdict() for line in lines])
             case Err(error):
                 return _unavailable(error)
 
     async def _rollout(self) -> Any:
-        """Give, per failure domain, how far the members that were asked are."""
+        """Return the lowest record revision among some members of each failure domain."""
         sync = self.node.sync
-        found = await sync.survey_members()
-        own = self.node.settings.domain
-        found.setdefault(own, [])
+        responses_by_domain = await sync.survey_members()
+        own_domain = self.node.settings.domain
+        responses_by_domain.setdefault(own_domain, [])
         rows = []
-        for domain, answers in sorted(found.items()):
-            known = [a.upto for a in answers if a is not None]
-            if domain == own:
-                known.append(self.node.record_cache.complete_revision)
-            lowest = min(known, default=0)
+        for domain, responses in sorted(responses_by_domain.items()):
+            revisions = [r.upto for r in responses if r is not None]
+            if domain == own_domain:
+                revisions.append(self.node.record_cache.complete_revision)
+            lowest = min(revisions, default=0)
             versions = {
                 e.service: e.version
                 for e in self.node.record_cache.entries()
                 if e.version <= lowest
             }
-            asked = len(answers) + (domain == own)
+            asked = len(responses) + (domain == own_domain)
             rows.append(
                 {
                     'domain': domain,
                     'asked': asked,
-                    'answered': len(known),
-                    'revision': lowest if known else None,
+                    'answered': len(revisions),
+                    'revision': lowest if revisions else None,
                     'in_force': versions,
                 }
             )
@@ -292,8 +295,8 @@
             body = msgspec.json.decode(req.body, type=ExplainBody)
         except (msgspec.MsgspecError, UnicodeError, RecursionError) as exc:
             return failure_response(Failure(ErrorKind.MALFORMED_REQUEST, str(exc)))
-        question = ExplainRequest(service=body.service, method=body.method, path=body.path)
-        explanation = explain_request(self.node, question)
+        request = ExplainRequest(service=body.service, method=body.method, path=body.path)
+        explanation = explain_request(self.node, request)
         return _unknown(body.service) if explanation is None else json_response(explanation)
 
 
--- a/dunlinsaddle/batches.py
+++ b/dunlinsaddle/batches.py
@@ -1,4 +1,4 @@
-"""Lists cut into pieces that each fit into one message."""
+"""Splits lists into batches that each fit into one message."""
 
 from collections.abc import Callable, Iterable, Iterator
 from typing import TypeVar
@@ -9,19 +9,19 @@
 def split_into_batches(
     items: Iterable[T], size_of: Callable[[T], int], limit: int
 ) -> Iterator[list[T]]:
-    """Cut items into pieces of at most ``limit`` bytes; a larger item is a piece by itself.
+    """Split items into batches of at most ``limit`` bytes; a larger item is a batch by itself.
 
-    >>> list(cut_pieces(['aa', 'b', 'cccc'], len, 3))
+    >>> list(split_into_batches(['aa', 'b', 'cccc'], len, 3))
     [['aa', 'b'], ['cccc']]
     """
-    piece: list[T] = []
-    room = limit
+    batch: list[T] = []
+    free_bytes = limit
     for item in items:
         size = size_of(item)
-        if piece and size > room:
-            yield piece
-            piece, room = [], limit
-        piece.append(item)
-        room -= size
-    if piece:
-        yield piece
+        if batch and size > free_bytes:
+            yield batch
+            batch, free_bytes = [], limit
+        batch.append(item)
+        free_bytes -= size
+    if batch:
+        yield batch
--- a/dunlinsaddle/daemon.py
+++ b/dunlinsaddle/daemon.py
@@ -1,9 +1,9 @@
-"""The daemon as a process.
+"""Entry point of the daemon.
 
-What only some way of starting it needs is imported for that way. A node of the users' platform
-reads one file and needs no command line: without it, without the exporters of metrics and the
-product's own node, its imports took 0.27 s of processor time where they had taken 0.40 s (measured
-with ``time``, less the 0.17 s of an empty interpreter). Hundreds start after a loss of power.
+Modules that only one of the two start modes needs are imported in that mode. A node of the
+users' platform reads one file and needs no command line, no metrics exporters and no ``Node``.
+Skipping these reduces the processor time of its imports from 0.40 to 0.27 s, which matters when
+hundreds of nodes start after a power failure.
 """
 
 import sys
@@ -13,7 +13,7 @@
 
 
 def run_daemon(argv: list[str], env: Environment) -> int:
-    """Run the daemon with these arguments; gives the exit status."""
+    """Run the daemon with these arguments and return its exit status."""
     node_file = env.environ.get(env_name('node-file'))
     if node_file and not argv:
         from dunlinsaddle.mesh import daemon as mesh
@@ -25,7 +25,7 @@
 
 
 def main() -> None:
-    """Run the daemon as a process."""
+    """Run the daemon and exit with its status."""
     sys.exit(run_daemon(sys.argv[1:], Environment(program_name='dunlinsaddled')))
 
 
--- a/dunlinsaddle/environment.py
+++ b/dunlinsaddle/environment.py
@@ -1,4 +1,4 @@
-"""What a program touches outside itself, handed down and never global."""
+"""The external dependencies of a program, passed as an argument instead of used as globals."""
 
 import os
 import sys
@@ -13,7 +13,7 @@
 
 @dataclass
 class Environment:
-    """Streams, variables, clock, randomness and datagrams of one run; tests build their own."""
+    """Streams, variables, clocks, random numbers and UDP of one run; tests build their own."""
 
     program_name: str = 'dunlinsaddle'
     stdout: TextIO = field(default_factory=lambda: sys.stdout)
@@ -21,7 +21,7 @@
     stdin: TextIO = field(default_factory=lambda: sys.stdin)
     environ: Mapping[str, str] = field(default_factory=lambda: os.environ)
     wall_clock: Callable[[], float] = time.time
-    #: Seconds that go on while the machine is suspended, which the loop's clock leaves out.
+    #: A clock in seconds that also advances while the machine is suspended, unlike the loop's.
     boottime_clock: Callable[[], float] = field(
         default=lambda: time.clock_gettime(time.CLOCK_BOOTTIME)
     )
@@ -29,5 +29,5 @@
     open_gossip: TransportFactory = open_udp
 
     def print_error(self, message: str) -> None:
-        """Tell a person what went wrong, in one line."""
+        """Write a one-line error message to stderr."""
         self.stderr.write(f'{self.program_name}: error: {message}\n')
--- a/dunlinsaddle/errors.py
+++ b/dunlinsaddle/errors.py
@@ -1,4 +1,4 @@
-"""The closed list of error kinds, and the table from kind to answer."""
+"""Error kinds, and the response to each of them."""
 
 from enum import Enum, StrEnum
 from typing import NamedTuple
@@ -9,7 +9,7 @@
 
 
 class Outcome(StrEnum):
-    """What is known of the work behind an answer."""
+    """Whether the work of a request was done, as far as the node knows."""
 
     DONE = 'done'
     NOT_RUN = 'not-run'
@@ -17,7 +17,7 @@
 
 
 class ErrorKind(Enum):
-    """Every way in which a request can fail. The value is the problem's name on the wire."""
+    """All kinds of failure of a request. The value is the name of the problem on the wire."""
 
     MALFORMED_REQUEST = 'malformed-request'
     REQUEST_TIMEOUT = 'request-timeout'
@@ -66,10 +66,10 @@
 
 
 class ResponseRule(NamedTuple):
-    """How an error kind is answered.
+    """The response to one error kind.
 
-    ``retry_after`` says whether the answer carries a Retry-After header; ``resend`` whether
-    the caller may send the same request again.
+    ``retry_after``: whether the response has a Retry-After header. ``resend``: whether the
+    caller may send the same request again.
     """
 
     status: int
@@ -91,7 +91,7 @@
 
 RESPONSE_RULES: dict[ErrorKind, ResponseRule] = {
     _K.MALFORMED_REQUEST: _rule(400, _NOT_RUN, 'The request is not well-formed HTTP.'),
-    # Refused before it was read whole: with a key it may be a resend of one that ran.
+    # Refused before it was read in full: if it has a key, an earlier send may have run.
     _K.REQUEST_TIMEOUT: _rule(408, _UNKNOWN, 'The request did not arrive in time.', resend=True),
     _K.URI_TOO_LONG: _rule(414, _NOT_RUN, 'The request line is too long.'),
     _K.HEADERS_TOO_LARGE: _rule(431, _NOT_RUN, 'The headers are too large.'),
@@ -169,7 +169,7 @@
 
 
 class Failure(NamedTuple):
-    """One failure: its kind, what happened, and in how many seconds to come back."""
+    """A failed request: the kind, details, and the seconds after which to retry."""
 
     kind: ErrorKind
     detail: str = ''
@@ -177,12 +177,12 @@
 
     @property
     def rule(self) -> ResponseRule:
-        """The row of the table that answers this failure."""
+        """The response rule of this failure's kind."""
         return RESPONSE_RULES[self.kind]
 
     @property
     def outcome(self) -> Outcome:
-        """What is known of the work."""
+        """Whether the work was done, as far as the node knows."""
         return self.rule.outcome
 
 
@@ -198,7 +198,7 @@
 
 
 def problem_document(failure: Failure) -> Problem:
-    """Give the problem document that answers a failure."""
+    """Return the problem document of a failure."""
     rule = failure.rule
     return Problem(
         type=f'{PROBLEM_TYPE_PREFIX}{failure.kind.value}',
--- a/dunlinsaddle/explain.py
+++ b/dunlinsaddle/explain.py
@@ -1,4 +1,4 @@
-"""Why a request would be admitted or refused at a node, and where it would go."""
+"""Explains whether a node would admit a request, and which targets could serve it."""
 
 from collections.abc import Iterable
 from typing import TypedDict
@@ -20,7 +20,7 @@
 
 
 class Explanation(TypedDict):
-    """What a node would do with a request now."""
+    """How a node would handle a request now."""
 
     service: str
     rule: str
@@ -29,21 +29,24 @@
     mode: str
     retry_bound: int
     deadline: float
-    admitted_share: float  #: share of requests of this rank that the level admits, 0 to 1
+    admitted_share: float  #: share of requests of this rank that are admitted, 0 to 1
     targets: list[TargetReport]
     verdict: str
 
 
 def explain(
-    question: ExplainRequest,
+    request: ExplainRequest,
     record: ServiceRecord,
     members: Iterable[Member],
     router: Router,
     now: float,
     level: int = LOWEST_LEVEL,
 ) -> Explanation:
-    """Explain a request; ``level`` is the lowest priority that is admitted for it now."""
-    rule = classify(record, question['method'], question['path'])
+    """Explain how a request would be handled.
+
+    ``level`` is the lowest priority level that is admitted for it now.
+    """
+    rule = classify(record, request['method'], request['path'])
     targets = [router.report(now, m.instance, m.domain) for m in members]
     first_level = rule.rank * SLOTS_PER_RANK
     share = min(max((level - first_level + 1) / SLOTS_PER_RANK, 0.0), 1.0)
@@ -66,12 +69,12 @@
         return 'refused: no target of the service is known here'
     if share <= 0:
         return 'refused early: a service of the chain admits only more valued requests'
-    if all(_full(target['load']) for target in targets):
+    if all(_is_full(target['load']) for target in targets):
         return 'waits or is refused: every known target is at its limit'
     if share < 1:
         return f'admitted for {share:.0%} of request ids'
     return 'admitted'
 
 
-def _full(load: Load) -> bool:
+def _is_full(load: Load) -> bool:
     return load.inflight >= load.limit
--- a/dunlinsaddle/logs.py
+++ b/dunlinsaddle/logs.py
@@ -1,4 +1,4 @@
-"""Logs of both programs: one JSON object a line, and an output that never holds up the loop."""
+"""Logging as one JSON object per line, and an output stream that never blocks the event loop."""
 
 import asyncio
 import contextlib
@@ -10,18 +10,18 @@
 
 from pythonjsonlogger.msgspec import MsgspecFormatter
 
-MAX_WRITE_BYTES = 4096  #: a pipe that is writable takes as much without blocking (PIPE_BUF)
-#: Lines kept for a reader that has stopped: some seconds of a flood, less than a megabyte.
+MAX_WRITE_BYTES = 4096  #: what a writable pipe accepts without blocking (PIPE_BUF)
+#: Buffer for a reader that has stalled: a few seconds of heavy logging, below one megabyte.
 MAX_BUFFERED_LINES = 2000
-RETRY_SECONDS = 0.1  #: between two looks whether a reader that has stopped reads again
+RETRY_SECONDS = 0.1  #: how often a stalled output is tried again
 
 
 class NonBlockingStream:
-    """A stream for log lines that writes only what the reader takes at once.
+    """An output stream for log lines that buffers what cannot be written without blocking.
 
-    A reader that stops fills the pipe, and a blocking write would stop the node with it: all
-    its requests would wait for the log. Lines wait here instead; beyond a bound the newest are
-    dropped, and their number is told once there is room again.
+    A reader that stops reading fills the pipe. A blocking write would then stop the event loop
+    and with it all requests of the node. Lines are buffered instead. If the buffer is full, new
+    lines are dropped; their number is logged once half of the buffer is free.
     """
 
     def __init__(self, fileno: int) -> None:
@@ -31,7 +31,7 @@
         self._timer: asyncio.TimerHandle | None = None
 
     def write(self, text: str) -> int:
-        """Take text for later."""
+        """Buffer text until the next flush."""
         if len(self._lines) >= MAX_BUFFERED_LINES:
             self.dropped += 1
             return len(text)
@@ -44,30 +44,30 @@
         return len(text)
 
     def flush(self) -> None:
-        """Write what can be written now; the rest goes later."""
+        """Write what the output accepts now, and schedule a retry for the rest."""
         while self._lines and self._writable():
-            piece = self._lines[0]
+            chunk = self._lines[0]
             with contextlib.suppress(BlockingIOError):
-                written = os.write(self.fileno, piece)
-                if written == len(piece):
+                written = os.write(self.fileno, chunk)
+                if written == len(chunk):
                     self._lines.popleft()
                 else:
-                    self._lines[0] = piece[written:]
+                    self._lines[0] = chunk[written:]
                 continue
             break
         if self._lines and self._timer is None:
-            self._retry_later()
+            self._schedule_retry()
 
     def _writable(self) -> bool:
         poll = select.poll()
         poll.register(self.fileno, select.POLLOUT)
         return any(events & select.POLLOUT for _, events in poll.poll(0))
 
-    def _retry_later(self) -> None:
+    def _schedule_retry(self) -> None:
         try:
             loop = asyncio.get_running_loop()
         except RuntimeError:
-            # The last lines of a process that ends: there is no later.
+            # No event loop runs at the end of the process, so there is no retry.
             return
         self._timer = loop.call_later(RETRY_SECONDS, self._retry)
 
@@ -79,9 +79,10 @@
 def create_logger(
     stream: 'TextIO | NonBlockingStream', level: str, *, instance: str, domain: str
 ) -> logging.Logger:
-    """Prepare the daemon's logger; each line names the instance and its failure domain.
+    """Create the daemon's logger; each line has the instance and its failure domain.
 
-    ``time`` is in UTC with its offset, so that lines of nodes in any zone can be merged.
+    ``time`` is in UTC and has the offset, so that logs of nodes in different time zones can be
+    merged.
     """
     handler = logging.StreamHandler(stream)
     handler.setFormatter(
--- a/dunlinsaddle/loops.py
+++ b/dunlinsaddle/loops.py
@@ -1,4 +1,4 @@
-"""Objects that live on one event loop."""
+"""Helpers for code that runs on an event loop."""
 
 import asyncio
 from functools import cached_property
@@ -6,38 +6,37 @@
 
 
 class LoopBound:
-    """An object of one loop, which it looks up once.
+    """An object that belongs to one event loop and caches it.
 
-    Each look-up of the running loop asks the kernel for the process id, to notice a fork. A
-    call through two nodes took nineteen of these, more system calls than all its reads and
-    writes (counted by strace). On the users' platform they are cheap: the processor time of a
-    day did not change.
+    ``asyncio.get_running_loop`` makes a system call for the process id each time, to detect a
+    fork. Without the cache, a call through two nodes makes nineteen of them, more than all its
+    reads and writes.
     """
 
     @cached_property
     def loop(self) -> asyncio.AbstractEventLoop:
-        """The loop that runs when it is first needed."""
+        """The event loop, taken from the first use."""
         return asyncio.get_running_loop()
 
     def now(self) -> float:
-        """Give the time of the loop, in seconds."""
+        """Return the time of the event loop, in seconds."""
         return self.loop.time()
 
 
 class Backoff:
-    """Pauses between tries, in seconds: doubled each time up to a bound, and spread by chance."""
+    """Exponential backoff with jitter: the delay doubles with each attempt, up to a maximum."""
 
     def __init__(self, initial_seconds: float, max_seconds: float, rng: Random) -> None:
         self.initial_seconds = initial_seconds
         self.max_seconds = max_seconds
         self.rng = rng
-        self.next_seconds = initial_seconds  #: the next pause, at most
+        self.next_seconds = initial_seconds  #: upper bound of the next delay
 
     def reset(self) -> None:
-        """Begin anew with the first pause."""
+        """Start again with the initial delay."""
         self.next_seconds = self.initial_seconds
 
     async def pause(self) -> None:
-        """Wait before the next try."""
+        """Sleep before the next attempt."""
         await asyncio.sleep(self.next_seconds * self.rng.uniform(0.5, 1.0))
         self.next_seconds = min(self.next_seconds * 2, self.max_seconds)
--- a/dunlinsaddle/managed_node.py
+++ b/dunlinsaddle/managed_node.py
@@ -1,8 +1,5 @@
-"""What operators may ask of a node: the parts that their face and its queries look at."""
-
+"""The parts of a node that the operators' API uses."""
 import logging
-from typing import NamedTuple, Protocol
-
 from dunlinsaddle.calls.dispatch import Dispatcher
 from dunlinsaddle.calls.execute import Executor
 from dunlinsaddle.calls.idempotency import IdempotencyRouter
@@ -15,6 +12,7 @@
 from dunlinsaddle.records.sync import RecordSync
 from dunlinsaddle.settings import Address, Settings
 from dunlinsaddle.stats import Stats
+from typing import NamedTuple, Protocol
 
 
 class ListenAddresses(NamedTuple):
@@ -28,7 +26,7 @@
 
 
 class ManagedNode(Protocol):
-    """A node as its operators' face sees it."""
+    """The attributes of a node that the operators' API uses."""
 
     settings: Settings
     logger: logging.Logger
--- a/dunlinsaddle/memory.py
+++ b/dunlinsaddle/memory.py
@@ -1,4 +1,4 @@
-"""How a daemon treats its memory."""
+"""Settings of the garbage collector."""
 
 import gc
 
@@ -7,10 +7,10 @@
 
 
 def tune_garbage_collector() -> None:
-    """Keep what was built at the start out of the garbage collector's walks.
+    """Exclude the objects that exist at startup from garbage collection.
 
-    A walk of the oldest generation goes over every object of the imported modules, and all
-    calls wait for it.
+    A collection of the oldest generation traverses all objects of the imported modules, and all
+    calls are delayed meanwhile.
     """
     gc.collect()
     gc.freeze()
--- a/dunlinsaddle/metrics.py
+++ b/dunlinsaddle/metrics.py
@@ -1,34 +1,31 @@
-"""Metrics by OpenTelemetry, read from plain numbers when somebody asks.
+"""OpenTelemetry metrics, read from plain counters on demand.
 
-A call pays for a few integer additions in ``Stats``; instruments are observed on the loop's
-own thread, for the operators' face or for an OTLP collector, so no count needs a lock.
+A call only costs a few additions in ``Stats``. Instruments are observed on the event loop's
+thread, for the operators' API or for an OTLP collector, so the counters need no lock.
 """
-
 import asyncio
 from collections.abc import Callable, Iterable, Mapping, Sequence
+from dunlinsaddle import __version__
+from dunlinsaddle.calls.idempotency import IdempotencyRouter
+from dunlinsaddle.records.record_cache import RecordCache
+from dunlinsaddle.stats import QUEUE_TIME_BOUNDS, Stats
 from itertools import accumulate
-from typing import Any
-
 from opentelemetry.exporter.otlp.proto.http.metric_exporter import OTLPMetricExporter
 from opentelemetry.metrics import CallbackOptions, Observation
 from opentelemetry.sdk.metrics import MeterProvider
 from opentelemetry.sdk.metrics.export import InMemoryMetricReader, MetricReader, MetricsData
 from opentelemetry.sdk.resources import Resource
+from typing import Any
 
-from dunlinsaddle import __version__
-from dunlinsaddle.calls.idempotency import IdempotencyRouter
-from dunlinsaddle.records.record_cache import RecordCache
-from dunlinsaddle.stats import QUEUE_TIME_BOUNDS, Stats
-
-EXPORT_INTERVAL_SECONDS = 10.0  #: seconds between two exports, by judgement
-EXPORT_TIMEOUT_SECONDS = 5  #: seconds; half of the above, so that exports never overlap
+EXPORT_INTERVAL_SECONDS = 10.0
+EXPORT_TIMEOUT_SECONDS = 5  #: half of the interval, so that exports never overlap
 
 Labels = Mapping[str, str]
 LabeledValues = Iterable[tuple[float, Labels]]
 
 
 class Metrics:
-    """The instruments of one node."""
+    """The metric instruments of one node."""
 
     def __init__(
         self,
@@ -48,30 +45,33 @@
     def counter(
         self, name: str, unit: str, description: str, read: Callable[[], LabeledValues]
     ) -> None:
-        """Add a sum that only grows."""
+        """Add a counter, a sum that never decreases."""
         self._meter.create_observable_counter(name, [_callback(read)], unit, description)
 
     def gauge(
         self, name: str, unit: str, description: str, read: Callable[[], LabeledValues]
     ) -> None:
-        """Add a value that goes up and down."""
+        """Add a gauge, a value that can go up and down."""
         self._meter.create_observable_gauge(name, [_callback(read)], unit, description)
 
     def read(self) -> dict[str, list[dict[str, Any]]]:
-        """Give the value of each instrument by name, with its attributes."""
-        found: dict[str, list[dict[str, Any]]] = {}
+        """Return the values of each instrument by its name, with their attributes."""
+        values: dict[str, list[dict[str, Any]]] = {}
         data = self.reader.get_metrics_data()
         for resource in data.resource_metrics if data else ():
             for scope in resource.scope_metrics:
                 for metric in scope.metrics:
-                    found[metric.name] = [
+                    values[metric.name] = [
                         {'value': getattr(point, 'value', None), **dict(point.attributes or {})}
                         for point in metric.data.data_points
                     ]
-        return found
+        return values
 
     async def export_loop(self) -> None:
-        """Send to the collector until cancelled; a lost export is made up by the next one."""
+        """Export to the collector until cancelled.
+
+        A failed export is not retried: values are cumulative, so the next one makes up for it.
+        """
         if not self.endpoint:
             return
         exporter = OTLPMetricExporter(endpoint=self.endpoint, timeout=EXPORT_TIMEOUT_SECONDS)
@@ -79,16 +79,16 @@
             await asyncio.sleep(self.export_interval)
             data = self.reader.get_metrics_data()
             if isinstance(data, MetricsData):
-                # Observed here, sent there: only the waiting leaves the loop's thread.
+                # Instruments were observed on this thread; only the blocking export leaves it.
                 await asyncio.to_thread(exporter.export, data)
 
     def close(self) -> None:
-        """Let go of the instruments."""
+        """Shut down the meter provider."""
         self._provider.shutdown()
 
 
 def observe_stats(metrics: Metrics, stats: Stats) -> None:
-    """Add the instruments of what a node counts."""
+    """Add the instruments for the counters of a node."""
     metrics.counter(
         'dunlinsaddle.calls',
         '{call}',
@@ -110,30 +110,30 @@
     metrics.counter(
         'dunlinsaddle.keys',
         '{key}',
-        'Idempotency keys that this node answered for: accepted, repeated, or why refused.',
+        'Idempotency keys that this node decided on: accepted, repeated, or why refused.',
         lambda: [(count, {'result': result}) for result, count in stats.keys.items()],
     )
     metrics.counter(
         'dunlinsaddle.queue_time_bucket',
         '{call}',
-        'Calls that waited for a slot at most so many seconds, cumulative.',
+        'Calls by the seconds that they waited for a slot, cumulative.',
         lambda: cumulative_buckets(QUEUE_TIME_BOUNDS, stats.queue_time_buckets),
     )
     sums = (
-        ('retries', '{call}', 'Resends that were spent.'),
+        ('retries', '{call}', 'Retries that were sent.'),
         ('wasted', '{call}', 'Work done for calls that failed later.'),
-        ('queue_time', 's', 'Time that calls waited for a slot, summed.'),
+        ('queue_time', 's', 'Total time that calls waited for a slot.'),
         ('queued', '{call}', 'Calls that waited for a slot.'),
-        ('added_time', 's', 'Time that the node added to calls, summed.'),
-        ('answered', '{call}', 'Calls that the added time was taken of.'),
-        ('faults', '{fault}', 'Faults of the node itself.'),
+        ('added_time', 's', 'Total time that the node itself added to answered calls.'),
+        ('answered', '{call}', 'Answered calls whose added time was measured.'),
+        ('faults', '{fault}', 'Unhandled exceptions in the node.'),
     )
     for name, unit, description in sums:
         metrics.counter(f'dunlinsaddle.{name}', unit, description, _field(stats, name))
 
 
 def observe_records(metrics: Metrics, record_cache: RecordCache) -> None:
-    """Add the instruments of the records in force."""
+    """Add the instruments for the records in force."""
     metrics.gauge(
         'dunlinsaddle.record_version',
         '1',
@@ -143,31 +143,31 @@
     metrics.gauge(
         'dunlinsaddle.records_unreadable',
         '{record}',
-        'Newer versions of records that cannot be read here.',
+        'Records whose newest version this node cannot read.',
         lambda: [(len(record_cache.unreadable), {})],
     )
 
 
-def observe_keys(metrics: Metrics, gate: IdempotencyRouter, service: Callable[[], str]) -> None:
-    """Add the instruments of the key ranges that a node owns and the keys that it remembers."""
+def observe_keys(metrics: Metrics, router: IdempotencyRouter, service: Callable[[], str]) -> None:
+    """Add the instruments for the key ranges a node owns and the idempotency keys it remembers."""
     metrics.gauge(
         'dunlinsaddle.key_ranges',
         '{range}',
-        'Key ranges of its service that this node owns.',
-        lambda: [(gate.keeper.owned_ranges(service()).ranges, {})],
+        'Key ranges that this node owns for the service of its target.',
+        lambda: [(router.keeper.owned_ranges(service()).ranges, {})],
     )
     metrics.gauge(
         'dunlinsaddle.keys_held',
         '{key}',
-        'Idempotency keys remembered here, by service.',
-        lambda: [(len(table), {'service': name}) for name, table in gate.tables.items()],
+        'Idempotency keys that this node remembers, by service.',
+        lambda: [(len(table), {'service': name}) for name, table in router.tables.items()],
     )
 
 
 def cumulative_buckets(
     bounds: Iterable[float], buckets: Iterable[int], **labels: str
 ) -> LabeledValues:
-    """Give buckets as counts of all values up to each bound, which is the label ``le``."""
+    """Return cumulative bucket counts, each labelled ``le`` with its upper bound."""
     names = [*map(str, bounds), '+Inf']
     totals = accumulate(buckets)
     return [(total, {'le': name, **labels}) for name, total in zip(names, totals, strict=True)]
--- a/dunlinsaddle/node.py
+++ b/dunlinsaddle/node.py
@@ -1,13 +1,8 @@
-"""One node: wires the rooms together and runs their loops."""
-
+"""Builds the parts of one node, connects them and runs their background tasks."""
 import asyncio
 import contextlib
 import logging
 import secrets
-from functools import partial
-from random import Random
-from typing import Any
-
 from dunlinsaddle.admin import OperatorHandler
 from dunlinsaddle.calls.call_state import RunningCalls, read_call_frame, record_added_latency
 from dunlinsaddle.calls.client import HttpClient
@@ -33,13 +28,7 @@
 from dunlinsaddle.membership.liveness import TargetMonitor
 from dunlinsaddle.membership.roster import Bootstrap, RosterStore
 from dunlinsaddle.membership.view import Member, MemberView, State
-from dunlinsaddle.metrics import (
-    LabeledValues,
-    Metrics,
-    observe_keys,
-    observe_records,
-    observe_stats,
-)
+from dunlinsaddle.metrics import LabeledValues, Metrics, observe_keys, observe_records, observe_stats
 from dunlinsaddle.platform.client import HttpObjectStore
 from dunlinsaddle.platform.store import ObjectStore
 from dunlinsaddle.policy.admission import Admission
@@ -52,18 +41,21 @@
 from dunlinsaddle.records.sync import RecordSync
 from dunlinsaddle.settings import Settings
 from dunlinsaddle.stats import Stats
+from functools import partial
+from random import Random
+from typing import Any
 
-#: How long idempotency keys are remembered when no record sets it.
+#: How long idempotency keys are remembered if no record of the service sets it.
 DEFAULT_KEY_WINDOW_SECONDS = 900.0
 #: Interval of the target's liveness check. The target announces itself once a second.
 TARGET_CHECK_SECONDS = 0.25
-DRAIN_NOTICE_SECONDS = 1.0  #: seconds in which the news of leaving reaches the other nodes
-#: Listings hold many values of up to a megabyte.
+DRAIN_NOTICE_SECONDS = 1.0  #: time for the draining state to reach the other nodes by gossip
+#: A listing contains many values of up to one megabyte.
 MAX_PLATFORM_BODY_BYTES = 1 << 26
 
 
 class Node:
-    """The process beside one target."""
+    """The node process next to one target."""
 
     def __init__(self, settings: Settings, env: Environment, logger: logging.Logger) -> None:
         self.settings = settings
@@ -86,7 +78,7 @@
         self.admission = Admission()
         self.quarantine = Quarantine()
         self.crash_notifier = CrashNotifier(
-            self.links, self.quarantine, self._warned_of_deaths, logger
+            self.links, self.quarantine, self._crash_recipients, logger
         )
         self.executor = Executor(
             self.target,
@@ -95,7 +87,7 @@
             self.running,
             self.stats,
             self.quarantine,
-            self._observes,
+            self._is_observe_mode,
             self.crash_notifier.broadcast,
         )
         self.target.on_start = self._target_started
@@ -109,14 +101,14 @@
             self.stats,
             self.quarantine,
         )
-        self._build_once(router)
-        self._build_faces(link_limits)
+        self._build_idempotency(router)
+        self._build_listeners(link_limits)
         self.sync = self._build_sync()
         self.metrics = self._build_metrics()
         self.addresses: ListenAddresses
         self._tasks: set[asyncio.Task[None]] = set()
 
-    def _build_once(self, router: Router) -> None:
+    def _build_idempotency(self, router: Router) -> None:
         owner = Owner(self.settings.instance, secrets.token_hex(6))
         clock = MonotonicWallClock(self.env.wall_clock)
         rng = Random(self.env.rng.random())
@@ -134,16 +126,16 @@
             self._key_window,
         )
         self.dispatcher.idempotency_router = self.idempotency_router
-        self.ranges = LocalRangeUpdater(self.keeper, self.view, self._served)
+        self.ranges = LocalRangeUpdater(self.keeper, self.view, self._served_service)
 
-    def _served(self) -> LocalService:
+    def _served_service(self) -> LocalService:
         return LocalService(self.target.service, self.target.draining)
 
     def _key_window(self, service: str) -> float:
         record = self.record_cache.find(service)
         return record.key_window if record else DEFAULT_KEY_WINDOW_SECONDS
 
-    def _build_faces(self, link_limits: LinkLimits) -> None:
+    def _build_listeners(self, link_limits: LinkLimits) -> None:
         cfg = self.settings
         limits = HttpLimits(
             cfg.max_header_bytes,
@@ -153,16 +145,19 @@
             cfg.idle_timeout,
         )
         callers = CallerHandler(
-            self.record_cache, self.dispatcher, self.stats, self._outcome_unknown
-        )
+            self.record_cache, self.dispatcher, self.stats, self._log_outcome_unknown)
         self.local_handler = LocalTargetHandler(
             self.target, self.running, self.record_cache, self.dispatcher
         )
         operators = OperatorHandler(self, self.env.wall_clock)
-        self.callers_listener = HttpListener(callers.handle, limits, self._fault)
-        self.local_listener = HttpListener(self.local_handler.handle, limits, self._fault)
-        self.operators_listener = HttpListener(operators.handle, limits, self._fault)
-        self.peer_server = PeerServer(cfg.peer_key, self._serve_peer, link_limits, self._peer_fault)
+        self.callers_listener = HttpListener(callers.handle, limits, self._handle_exception)
+        self.local_listener = HttpListener(
+            self.local_handler.handle, limits, self._handle_exception
+        )
+        self.operators_listener = HttpListener(operators.handle, limits, self._handle_exception)
+        self.peer_server = PeerServer(
+            cfg.peer_key, self._serve_peer, link_limits, self._handle_peer_exception
+        )
 
     def _build_sync(self) -> RecordSync:
         rng = Random(self.env.rng.random())
@@ -196,7 +191,7 @@
         metrics.counter(
             'dunlinsaddle.platform_calls',
             '{call}',
-            'Calls to the platform, each watch as one.',
+            'Calls to the platform; a watch counts as one call.',
             lambda: [(self.store.calls, {})],
         )
         return metrics
@@ -206,13 +201,16 @@
         return [(value, {'of': name}) for name, value in load._asdict().items()]
 
     def use_store(self, store: ObjectStore) -> None:
-        """Take another object store, before the start."""
+        """Replace the object store. Must be called before ``start``."""
         self.store = store
         self.keeper.store = store
         self.sync.store = store
 
     async def start(self) -> ListenAddresses:
-        """Listen on all faces and start the loops. Raises OSError when an address is taken."""
+        """Open all listeners and start the background tasks.
+
+        Raises OSError if an address is in use.
+        """
         cfg = self.settings
         self.addresses = ListenAddresses(
             await self.callers_listener.listen(cfg.callers),
@@ -236,16 +234,16 @@
         return self.addresses
 
     async def drain(self) -> None:
-        """Take no new work, tell the others, and wait for what is in progress."""
+        """Stop taking new work, tell the other nodes, and wait for calls in progress."""
         self.target.node_draining = True
         self.local_handler.target_changed.set()
         self.callers_listener.start_closing()
-        # Not awaited here: a platform that is out must not hold up the drain.
-        handing_over = asyncio.create_task(self.ranges.update())
+        # Not awaited here, so that an unavailable platform does not delay the drain.
+        releasing_ranges = asyncio.create_task(self.ranges.update())
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(self.settings.drain_timeout):
-                # Callers and routers with an old view still come here for a moment: they
-                # are told to go elsewhere, which a closed port could not do.
+                # Callers and routers with an outdated view still send calls here for a moment.
+                # The open listener can tell them to use another node; a closed port could not.
                 await asyncio.sleep(DRAIN_NOTICE_SECONDS)
                 self.callers_listener.stop_listening()
                 self.executor.refuse_waiting()
@@ -253,22 +251,22 @@
                 await self.peer_server.wait_idle()
                 await self.running.wait_idle()
                 await self.idempotency_router.wait_idle()
-                await handing_over
+                await releasing_ranges
                 self.keeper.close()
                 await self.idempotency_router.wait_idle()
-                handed = await hand_over_keys(
+                result = await hand_over_keys(
                     self.idempotency_router.tables, self.keeper, self.view, self.links
                 )
-                log_handover(self.logger, handed)
+                log_handover(self.logger, result)
                 await self.local_listener.wait_idle()
 
     async def stop(self) -> None:
-        """Close everything."""
+        """Cancel the background tasks and close all connections and listeners."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
-        for face in (self.callers_listener, self.local_listener, self.operators_listener):
-            face.close()
+        for listener in (self.callers_listener, self.local_listener, self.operators_listener):
+            listener.close()
         self.agent.leave()
         self.keeper.close()
         self.crash_notifier.close()
@@ -279,7 +277,7 @@
         self.platform_client.close()
 
     def local_member(self) -> Member:
-        """Give the word that this node spreads of itself."""
+        """Return the membership entry that this node gossips about itself."""
         state = State.DRAINING if self.target.draining else State.ALIVE
         cfg = self.settings
         return Member(
@@ -293,19 +291,19 @@
         )
 
     def _member_changed(self, before: Member | None, member: Member) -> None:
-        """Log what operators look for after an incident: who was thought lost, and when."""
+        """Log state changes of members; operators look for them after an incident."""
         if before is None or before.state is member.state:
             return
         level = logging.WARNING if member.state is State.DEAD else logging.INFO
         extra = {'member': member.instance, 'state': member.state.name.lower()}
         self.logger.log(level, 'member changed', extra=extra)
 
-    def _observes(self, service: str) -> bool:
+    def _is_observe_mode(self, service: str) -> bool:
         record = self.record_cache.find(service)
         return record is not None and record.mode is Mode.OBSERVE
 
-    def _warned_of_deaths(self) -> list[Member]:
-        """Give the nodes beside the other targets of this service."""
+    def _crash_recipients(self) -> list[Member]:
+        """Return the nodes of the other targets of this service."""
         serving = self.view.serving_members(self.target.service)
         return [m for m in serving if m.instance != self.settings.instance]
 
@@ -325,48 +323,50 @@
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    def _fault(self, req: HttpRequest) -> None:
+    def _handle_exception(self, req: HttpRequest) -> None:
         self.stats.faults += 1
         extra = {'path': req.path, 'request_id': req.header(b'request-id')}
-        self.logger.exception('fault while answering', extra=extra)
+        self.logger.exception('unhandled exception while answering a request', extra=extra)
 
-    def _outcome_unknown(self, ctx: CallContext, kind: str) -> None:
-        """Log a call of which nobody can say whether it ran: its caller will ask."""
+    def _log_outcome_unknown(self, ctx: CallContext, kind: str) -> None:
+        """Log a call that may or may not have run: its caller is likely to ask the operators."""
         extra = {'request_id': ctx.request_id, 'service': ctx.service, 'rule': ctx.rule}
         self.logger.warning('outcome unknown', extra={**extra, 'kind': kind, 'key': ctx.key})
 
-    def _peer_fault(self, call: Call) -> None:
+    def _handle_peer_exception(self, call: Call) -> None:
         self.stats.faults += 1
-        self.logger.exception('fault while answering a peer', extra={'service': call.service})
+        self.logger.exception(
+            'unhandled exception while answering a peer', extra={'service': call.service}
+        )
 
     async def _serve_peer(self, call: Call) -> Reply:
         if not call.idempotent and not call.owner_approved:
             return await self.idempotency_router.handle_peer_call(call)
         loop = asyncio.get_running_loop()
-        began = loop.time()
-        work = read_call_frame(call, began)
+        started_at = loop.time()
+        work = read_call_frame(call, started_at)
         reply = await self.executor.execute(work)
-        record_added_latency(self.stats, work, reply, loop.time() - began)
+        record_added_latency(self.stats, work, reply, loop.time() - started_at)
         return reply
 
     async def _announce_loop(self) -> None:
         loop = asyncio.get_running_loop()
         while True:
-            # Not wait_for: in 3.11 it swallows a cancellation that comes with the event, and a
-            # node told to stop would hang.
+            # Not ``wait_for``: in Python 3.11 it swallows a cancellation that arrives together with
+            # the event, and a node that is stopping would hang.
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(TARGET_CHECK_SECONDS):
                     await self.local_handler.target_changed.wait()
             if self.local_handler.target_changed.is_set():
                 self.local_handler.target_changed.clear()
                 self.target_watch.record_announcement(loop.time())
-            elif await self._target_gone(loop.time()):
+            elif await self._is_target_gone(loop.time()):
                 self.logger.warning('target gone', extra={'service': self.target.service})
                 self.target.clear()
             self._configure()
             self.agent.announce(self.local_member())
 
-    async def _target_gone(self, now: float) -> bool:
+    async def _is_target_gone(self, now: float) -> bool:
         address = self.target.address
         if address is None or self.target.node_draining:
             return False
--- a/dunlinsaddle/queries.py
+++ b/dunlinsaddle/queries.py
@@ -1,16 +1,14 @@
-"""What operators may ask of a node; nothing here changes it."""
-
+"""Read-only queries of a node for the operators' API."""
 import asyncio
-from typing import Any
-
 from dunlinsaddle.explain import ExplainRequest, Explanation, explain
 from dunlinsaddle.managed_node import ManagedNode
 from dunlinsaddle.membership.roster import roster_entry_of
 from dunlinsaddle.policy.classify import classify
+from typing import Any
 
 
 def node_status(node: ManagedNode) -> dict[str, Any]:
-    """Give what an operator wants to know of a node first."""
+    """Return a summary of a node's state."""
     load = node.admission.load(asyncio.get_running_loop().time())
     return {
         'instance': node.settings.instance,
@@ -28,20 +26,20 @@
 
 
 def known_targets(node: ManagedNode) -> list[dict[str, Any]]:
-    """Give all instances that a node knows of."""
+    """Return all members that a node knows, with the service that each one serves."""
     return [
         {**roster_entry_of(m), 'state': m.state.name.lower()}
         for m in sorted(node.view.members(), key=lambda m: (m.service, m.instance))
     ]
 
 
-def explain_request(node: ManagedNode, question: ExplainRequest) -> Explanation | None:
-    """Explain what would happen to a request at a node; None without a record."""
-    record = node.record_cache.find(question['service'])
+def explain_request(node: ManagedNode, request: ExplainRequest) -> Explanation | None:
+    """Explain how a node would handle a request; None if it has no record of the service."""
+    record = node.record_cache.find(request['service'])
     if record is None:
         return None
     now = asyncio.get_running_loop().time()
-    rule = classify(record, question['method'], question['path'])
+    rule = classify(record, request['method'], request['path'])
     level = node.executor.levels.admitted_level(now, record.service, rule.name)
     members = node.view.serving_members(record.service)
-    return explain(question, record, members, node.dispatcher.router, now, int(level))
+    return explain(request, record, members, node.dispatcher.router, now, int(level))
--- a/dunlinsaddle/serve.py
+++ b/dunlinsaddle/serve.py
@@ -1,4 +1,4 @@
-"""The daemon's command line: reads its settings, runs one node, and drains on SIGTERM."""
+"""The daemon's command line: reads settings, runs one node and drains it on SIGTERM."""
 
 import asyncio
 import signal
@@ -44,7 +44,7 @@
 
 
 class ServeCommand(Command):
-    """All flags of the daemon; each setting is one."""
+    """The daemon's command, with one flag per setting."""
 
     name = 'dunlinsaddled'
     description = 'Runs the node beside one target.'
@@ -63,7 +63,7 @@
         self.env = env
 
     def handle(self) -> int:
-        """Run the daemon and give its exit status."""
+        """Run the daemon and return its exit status."""
         if self.option('help'):
             self.env.stdout.write(_usage())
             return ExitStatus.OK
@@ -72,18 +72,18 @@
             return ExitStatus.OK
         node_file = self.option('node-file') or self.env.environ.get(env_name('node-file'))
         if node_file:
-            return mesh.run(self.env, node_file, check=self._only_checks())
+            return mesh.run(self.env, node_file, check=self._is_check())
         names = [*(opt.name for opt in OPTIONS), *secret_file_options()]
         flags = {name: self.option(name) for name in names}
-        given = {name: text for name, text in flags.items() if text is not None}
-        match read_settings(given, self.env.environ):
+        set_flags = {name: text for name, text in flags.items() if text is not None}
+        match read_settings(set_flags, self.env.environ):
             case Err(error):
                 self.env.print_error(str(error))
                 return ExitStatus.USAGE
             case Ok(settings):
-                return ExitStatus.OK if self._only_checks() else run(self.env, settings)
+                return ExitStatus.OK if self._is_check() else run(self.env, settings)
 
-    def _only_checks(self) -> bool:
+    def _is_check(self) -> bool:
         return bool(self.option('check-settings') or self.option('check'))
 
 
@@ -95,14 +95,16 @@
 
 
 def run(env: Environment, settings: Settings) -> ExitStatus:
-    """Run a node until it is told to stop."""
+    """Run a node until a signal stops it."""
     logger = create_logger(
         env.stderr, settings.log_level, instance=settings.instance, domain=settings.domain
     )
     try:
         return asyncio.run(_serve(Node(settings, env, logger)))
     except OSError as exc:
-        env.print_error(f'cannot listen: {exc}; give another address or stop what uses it')
+        env.print_error(
+            f'cannot listen: {exc}; change the address or stop the process that uses it'
+        )
         return ExitStatus.ERROR
 
 
@@ -121,8 +123,8 @@
 
     loop.add_signal_handler(signal.SIGTERM, stop.set)
     loop.add_signal_handler(signal.SIGINT, interrupt)
-    faces = await node.start()
-    addresses = {name: str(address) for name, address in faces._asdict().items()}
+    listen_addresses = await node.start()
+    addresses = {name: str(address) for name, address in listen_addresses._asdict().items()}
     tune_garbage_collector()
     node.logger.info('listening', extra={'faces': addresses})
     try:
@@ -137,7 +139,7 @@
 
 
 def serve(argv: list[str], env: Environment) -> int:
-    """Run the command line with these arguments; gives the exit status."""
+    """Run the command line with these arguments and return the exit status."""
     output = StreamOutput(env.stdout)
     io = IO(ArgvInput([env.program_name, *argv]), output, StreamOutput(env.stderr))
     try:
--- a/dunlinsaddle/stats.py
+++ b/dunlinsaddle/stats.py
@@ -1,4 +1,4 @@
-"""What a node counts, kept in plain numbers so that counting costs next to nothing."""
+"""Counters of a node, kept as plain numbers so that updates are cheap."""
 
 from bisect import bisect_left
 from collections import Counter
@@ -8,7 +8,7 @@
 
 
 class CallLabel(NamedTuple):
-    """By what calls are counted."""
+    """The labels by which ended calls are counted."""
 
     service: str
     rank: str
@@ -16,24 +16,24 @@
     kind: str
 
 
-#: Upper bounds of the buckets of queue time, in seconds; the last bucket has none.
+#: Upper bounds of the queue time buckets, in seconds. The last bucket is unbounded.
 QUEUE_TIME_BOUNDS = (0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0, 5.0)
 
 
-#: Upper bounds of the buckets of latency, in seconds; the last bucket has none. Objectives of the
-#: users' deployments lie between 0.3 and 1.5 s, and what a node adds below 5 ms.
+#: Upper bounds of the latency buckets, in seconds. The last bucket is unbounded. Latency objectives
+#: of the users' deployments are between 0.3 and 1.5 s; a node adds less than 5 ms.
 LATENCY_BOUNDS = (0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.5, 0.8, 1.5, 3.0, 6.0)
 
 
 class Hop(StrEnum):
-    """The parts of a call whose time is counted."""
+    """The parts of a call whose latency is measured."""
 
-    WHOLE = 'whole'  #: at the entry, from the request to its answer
-    TARGET = 'target'  #: at the node beside the target, from sending to the answer
+    WHOLE = 'whole'  #: at the entry node, from the request to its response
+    TARGET = 'target'  #: at the target's own node, from sending the request to the response
 
 
 class Stats:
-    """Counts and sums since the start of the node. Times in seconds."""
+    """Counts and sums since the start of the node; times are in seconds."""
 
     def __init__(self) -> None:
         self.calls: Counter[CallLabel] = Counter()
@@ -52,24 +52,24 @@
         self.faults = 0
 
     def record_call(self, label: CallLabel) -> None:
-        """Count the end of one call at this entry."""
+        """Count one ended call; called at its entry node."""
         self.calls[label] += 1
 
     def record_wait(self, seconds: float) -> None:
-        """Count a call that waited for a slot, whether it then ran or not."""
+        """Record the queue time of a call, whether or not it ran afterwards."""
         self.queued += 1
         self.queue_time += seconds
         self.queue_time_buckets[bisect_left(QUEUE_TIME_BOUNDS, seconds)] += 1
 
     def record_latency(self, hop: Hop, seconds: float) -> None:
-        """Count how long a part of a call took."""
+        """Record the latency of one part of a call."""
         self.latency_buckets[hop][bisect_left(LATENCY_BOUNDS, seconds)] += 1
 
     def record_added_time(self, seconds: float) -> None:
-        """Count an answered call, and the time that this node itself took for it."""
+        """Record the time that this node itself added to an answered call."""
         self.answered += 1
         self.added_time += seconds
 
     def call_counts(self) -> Iterable[tuple[CallLabel, int]]:
-        """Give the counts of ended calls."""
+        """Return the number of ended calls per label."""
         return self.calls.items()
