--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -1,8 +1,6 @@
-import asyncio
-from random import Random
 
+import asyncio
 import msgspec
-
 from dunlinsaddle.admin import MAX_CHANGE_BYTES
 from dunlinsaddle.calls.client import HttpClient
 from dunlinsaddle.calls.connection import Answered
@@ -10,23 +8,18 @@
 from dunlinsaddle.membership.roster import ROSTERS
 from dunlinsaddle.node import Node
 from dunlinsaddle.records.history import RECORDS
-from tests.builders import (
-    OPERATOR_TOKEN,
-    build_document,
-    build_environment,
-    build_logger,
-    build_settings,
-)
+from random import Random
+from tests.builders import OPERATOR_TOKEN, build_document, build_environment, build_logger, build_settings
 from tests.clock import PausedClockTest
 from tests.fakes.store import FakeStore
 
-FUZZ_INPUTS = 2500
-GOOD = {'id': 'a', 'record': build_document(), 'expected': 0, 'who': 'ann', 'why': 'trial'}
+FUZZ_INPUT_COUNT = 2500
+VALID_CHANGE = {'id': 'a', 'record': build_document(), 'expected': 0, 'who': 'ann', 'why': 'trial'}
 PATHS = ('status', 'rollout', 'targets', 'metrics', 'audit', 'records', 'explain')
 
 
 class AdminTest(PausedClockTest):
-    def on_node(self, scenario):
+    def run_with_node(self, scenario):
         async def run():
             settings = build_settings(
                 callers='127.0.0.1:1',
@@ -54,10 +47,10 @@
         assert isinstance(exchange, Answered), exchange
         return exchange.response
 
-    async def status_of(self, *args, **kwargs):
+    async def send_for_status(self, *args, **kwargs):
         return (await self.send(*args, **kwargs)).status
 
-    def test_everything_but_health_wants_the_token(self):
+    def test_everything_but_health_needs_the_token(self):
         async def scenario():
             tokens = (
                 'none',
@@ -67,19 +60,19 @@
                 'ÿþ',
                 OPERATOR_TOKEN[::-1],
             )
-            put = msgspec.json.encode(GOOD)
+            put = msgspec.json.encode(VALID_CHANGE)
             for token in tokens:
                 for path in PATHS:
-                    status = await self.status_of('GET', f'/v1/{path}', token=token)
+                    status = await self.send_for_status('GET', f'/v1/{path}', token=token)
                     self.assertEqual(401, status)
                 path = '/v1/records/cut-orders'
-                self.assertEqual(401, await self.status_of('PUT', path, put, token=token))
-            self.assertEqual(200, await self.status_of('GET', '/health', token='none'))
+                self.assertEqual(401, await self.send_for_status('PUT', path, put, token=token))
+            self.assertEqual(200, await self.send_for_status('GET', '/health', token='none'))
             return self.store.revision
 
-        self.assertEqual(0, self.on_node(scenario))
+        self.assertEqual(0, self.run_with_node(scenario))
 
-    def test_wrong_path_method_and_body_each_have_their_answer(self):
+    def test_wrong_path_method_or_body_gets_the_matching_status(self):
         cases = (
             ('GET', '/v1/nothing', b'', 404),
             ('GET', '/v2/records', b'', 404),
@@ -94,10 +87,10 @@
             ('POST', '/v1/explain', b'{}', 400),
             ('PUT', '/v1/records/a', b'{', 422),
             ('PUT', '/v1/records/a', b'x' * (MAX_CHANGE_BYTES + 1), 413),
-            ('PUT', '/v1/records/a', msgspec.json.encode({**GOOD, 'id': ''}), 422),
-            ('PUT', '/v1/records/a', msgspec.json.encode({**GOOD, 'record': None}), 422),
-            ('PUT', '/v1/records/a', msgspec.json.encode({**GOOD, 'force': True}), 422),
-            ('PUT', '/v1/records/a', msgspec.json.encode(GOOD), 422),
+            ('PUT', '/v1/records/a', msgspec.json.encode({**VALID_CHANGE, 'id': ''}), 422),
+            ('PUT', '/v1/records/a', msgspec.json.encode({**VALID_CHANGE, 'record': None}), 422),
+            ('PUT', '/v1/records/a', msgspec.json.encode({**VALID_CHANGE, 'force': True}), 422),
+            ('PUT', '/v1/records/a', msgspec.json.encode(VALID_CHANGE), 422),
         )
 
         async def scenario():
@@ -107,24 +100,29 @@
                 self.assertEqual(status, msgspec.json.decode(response.body)['status'])
             return self.store.revision
 
-        self.assertEqual(0, self.on_node(scenario))
+        self.assertEqual(0, self.run_with_node(scenario))
 
-    def test_conflict_carries_what_both_sides_changed(self):
+    def test_conflict_response_lists_the_fields_that_both_sides_changed(self):
         async def scenario():
             path = '/v1/records/cut-orders'
-            await self.send('PUT', path, msgspec.json.encode(GOOD))
-            theirs = {**GOOD, 'id': 'b', 'record': build_document(deadline=2.0), 'expected': 1}
+            await self.send('PUT', path, msgspec.json.encode(VALID_CHANGE))
+            theirs = {
+                **VALID_CHANGE,
+                'id': 'b',
+                'record': build_document(deadline=2.0),
+                'expected': 1,
+            }
             await self.send('PUT', path, msgspec.json.encode({**theirs, 'who': 'bob'}))
             mine = {**theirs, 'id': 'c', 'record': build_document(retry_bound=5)}
             return await self.send('PUT', path, msgspec.json.encode(mine))
 
-        response = self.on_node(scenario)
+        response = self.run_with_node(scenario)
         conflict = msgspec.json.decode(response.body)['conflict']
         self.assertEqual((409, 2), (response.status, conflict['version']))
         self.assertEqual('bob', conflict['theirs'][0]['who'])
         self.assertEqual(['deadline', 'retry_bound'], conflict['your_fields'])
 
-    def test_status_names_what_cannot_be_read_and_the_lost_platform(self):
+    def test_status_shows_unreadable_records_and_the_lost_platform(self):
         async def scenario():
             value = {'record': build_document(deadline=2.0)}
             await self.store.put(RECORDS, 'cut-orders', value, 0)
@@ -136,14 +134,14 @@
             await asyncio.sleep(20)
             return msgspec.json.decode((await self.send('GET', '/v1/status')).body)
 
-        status = self.on_node(scenario)
+        status = self.run_with_node(scenario)
         self.assertEqual(1, status['records']['cut-orders']['version'])
         self.assertEqual(2, status['unreadable']['cut-orders']['version'])
         self.assertIn('newer', status['unreadable']['cut-orders']['why'])
         self.assertEqual('lost', status['platform']['state'])
         self.assertGreater(status['platform']['for_seconds'], 15)
 
-    def test_metrics_are_read_without_a_collector(self):
+    def test_metrics_can_be_read_without_a_collector(self):
         async def scenario():
             await self.store.put(RECORDS, 'cut-orders', {'record': build_document()}, 0)
             await asyncio.sleep(1)
@@ -151,7 +149,7 @@
             await self.client.send(self.node.addresses.callers, req, 10)
             return msgspec.json.decode((await self.send('GET', '/v1/metrics')).body)
 
-        metrics = self.on_node(scenario)
+        metrics = self.run_with_node(scenario)
         self.assertEqual('not-run', metrics['dunlinsaddle.calls'][0]['outcome'])
         self.assertEqual(1, metrics['dunlinsaddle.calls'][0]['value'])
         version = {'value': 1, 'service': 'cut-orders'}
@@ -159,36 +157,36 @@
         self.assertGreater(metrics['dunlinsaddle.platform_calls'][0]['value'], 0)
         self.assertIn('limit', {p['of'] for p in metrics['dunlinsaddle.load']})
 
-    def test_random_input_writes_nothing_and_breaks_nothing(self):
-        # Anyone who reaches the port sends bytes: noise, requests cut or changed anywhere,
-        # huge headers, wrong tokens; and who holds the token sends broken documents. Nothing
-        # is written, no answer is a fault of the node, no connection stays, and it goes on.
+    def test_random_input_neither_writes_records_nor_causes_errors(self):
+        # Clients without the token send noise, truncated or corrupted requests, huge headers and
+        # wrong tokens; a client with the token sends broken documents. Nothing is written, no
+        # response is a 500, no connection stays open, and the node still works afterwards.
         async def scenario():
             rng = Random(20)
-            sample = self.fuzz_samples(rng)
-            for _ in range(FUZZ_INPUTS):
-                await self.feed(sample())
+            next_input = self.fuzz_inputs(rng)
+            for _ in range(FUZZ_INPUT_COUNT):
+                await self.send_bytes(next_input())
             await asyncio.sleep(100)
-            return await self.status_of('GET', '/health'), len(
+            return await self.send_for_status('GET', '/health'), len(
                 self.node.operators_listener.connections
             )
 
-        self.assertEqual((200, 1), self.on_node(scenario))
+        self.assertEqual((200, 1), self.run_with_node(scenario))
         self.assertEqual((0, 0), (self.store.revision, self.node.stats.faults))
 
-    async def feed(self, data: bytes) -> None:
+    async def send_bytes(self, data: bytes) -> None:
         reader, writer = await asyncio.open_connection('127.0.0.1', 4)
         writer.write(data)
-        answer = b''
+        response = b''
         try:
             async with asyncio.timeout(0.5):
-                answer = await reader.read(65_536)
+                response = await reader.read(65_536)
         except (TimeoutError, ConnectionError):
             pass
         writer.transport.abort()
-        self.assertNotIn(b'HTTP/1.1 500', answer)
+        self.assertNotIn(b'HTTP/1.1 500', response)
 
-    def fuzz_samples(self, rng: Random):
+    def fuzz_inputs(self, rng: Random):
         def request(method: str, path: str, body: bytes, token: str) -> bytes:
             head = f'{method} {path} HTTP/1.1\r\nhost: a\r\nauthorization: Bearer {token}\r\n'
             return f'{head}content-length: {len(body)}\r\n\r\n'.encode('latin-1') + body
@@ -196,31 +194,33 @@
         def noise() -> bytes:
             return rng.randbytes(rng.randrange(1, 400))
 
-        def changed() -> bytes:
-            text = bytearray(request('PUT', '/v1/records/a', msgspec.json.encode(GOOD), 'wrong'))
+        def corrupted() -> bytes:
+            text = bytearray(
+                request('PUT', '/v1/records/a', msgspec.json.encode(VALID_CHANGE), 'wrong')
+            )
             for _ in range(rng.randrange(1, 8)):
                 text[rng.randrange(len(text))] = rng.randrange(256)
             return bytes(text[: rng.randrange(1, len(text) + 1)])
 
-        def huge() -> bytes:
+        def huge_header() -> bytes:
             return b'GET / HTTP/1.1\r\n' + b'x-pad: ' + b'y' * rng.randrange(20_000, 60_000)
 
         def wrong_token() -> bytes:
             token = ''.join(rng.choice('abcÿ-. ') for _ in range(rng.randrange(20)))
-            return request('PUT', '/v1/records/a', msgspec.json.encode(GOOD), token)
+            return request('PUT', '/v1/records/a', msgspec.json.encode(VALID_CHANGE), token)
 
         def broken_document() -> bytes:
             values = [None, True, -1, 1e308, '', 'x' * 300, [], [[]], {}, {'schema': 2}, 2**70]
-            body = {name: rng.choice([value, *values]) for name, value in GOOD.items()}
-            body['record'] = rng.choice([*values, {**GOOD['record'], 'requests': values}])
+            body = {name: rng.choice([value, *values]) for name, value in VALID_CHANGE.items()}
+            body['record'] = rng.choice([*values, {**VALID_CHANGE['record'], 'requests': values}])
             method = rng.choice(['PUT', 'POST', 'DELETE', 'GET', 'PATCH'])
             path = rng.choice(['records/a', 'records/a/check', 'records/%2f', 'explain', 'audit'])
             raw = msgspec.json.encode(body).replace(b'1e308', rng.choice([b'1e999', b'NaN', b'[']))
             return request(method, f'/v1/{path}', raw, OPERATOR_TOKEN)
 
-        def deep() -> bytes:
+        def deeply_nested() -> bytes:
             body = b'{"id":"a","record":' + b'[' * rng.randrange(5_000, 30_000)
             return request('PUT', '/v1/records/a', body, OPERATOR_TOKEN)
 
-        kinds = [noise, changed, huge, wrong_token, broken_document, deep]
+        kinds = [noise, corrupted, huge_header, wrong_token, broken_document, deeply_nested]
         return lambda: rng.choice(kinds)()
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -12,25 +12,25 @@
 
 
 class ExplainTest(TestCase):
-    def explain(self, question: ExplainRequest, members=(), load: Load | None = None, **changes):
+    def explain(self, request: ExplainRequest, members=(), load: Load | None = None, **changes):
         router = Router('bangor-hall', Random(1))
         for member in members:
             router.record_sent(member.instance)
             router.record_answer(0.0, member.instance, load)
-        return explain(question, build_record(), members, router, 0.0, **changes)
+        return explain(request, build_record(), members, router, 0.0, **changes)
 
-    def test_names_the_rule_and_what_it_is_worth(self):
-        told = self.explain(RELEASE, [build_member()])
-        self.assertEqual(('release', 'critical', False), tuple(told.values())[1:4])
-        self.assertEqual('admitted', told['verdict'])
+    def test_shows_the_rule_with_its_rank_and_idempotency(self):
+        explanation = self.explain(RELEASE, [build_member()])
+        self.assertEqual(('release', 'critical', False), tuple(explanation.values())[1:4])
+        self.assertEqual('admitted', explanation['verdict'])
 
-    def test_says_when_nobody_serves_it(self):
+    def test_verdict_when_no_target_is_known(self):
         self.assertIn('no target', self.explain(READ)['verdict'])
 
-    def test_says_when_the_chain_admits_only_more_valued_requests(self):
+    def test_verdict_when_only_higher_priorities_are_admitted(self):
         self.assertIn('refused early', self.explain(READ, [build_member()], level=100)['verdict'])
         self.assertEqual('admitted', self.explain(RELEASE, [build_member()], level=127)['verdict'])
 
-    def test_says_when_every_target_is_full(self):
-        told = self.explain(READ, [build_member()], Load(inflight=8, limit=8))
-        self.assertIn('at its limit', told['verdict'])
+    def test_verdict_when_every_target_is_at_its_limit(self):
+        explanation = self.explain(READ, [build_member()], Load(inflight=8, limit=8))
+        self.assertIn('at its limit', explanation['verdict'])
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -8,7 +8,7 @@
 
 
 class LogsTest(TestCase):
-    def test_each_event_is_one_json_object_with_where_and_when(self):
+    def test_each_event_is_one_json_object_with_instance_domain_and_time(self):
         stream = io.StringIO()
         logger = create_logger(stream, 'info', instance='bangor-1', domain='bangor-hall')
         logger.debug('not shown')
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -8,11 +8,11 @@
 from dunlinsaddle.settings import Address
 from dunlinsaddle.stats import CallLabel, Stats
 
-LE = ('0.002', '0.005', '0.2', '0.5', '+Inf')
+BOUNDS = ('0.002', '0.005', '0.2', '0.5', '+Inf')
 
 
 class MetricsTest(TestCase):
-    def test_instruments_show_what_was_counted_since(self):
+    def test_instruments_show_counts_made_after_their_creation(self):
         stats = Stats()
         metrics = Metrics({'service.instance.id': 'bangor-1'})
         observe_stats(metrics, stats)
@@ -25,20 +25,20 @@
         stats.record_wait(0.3)
         stats.record_wait(60)
         stats.record_added_time(0.25)
-        found = metrics.read()
-        self.assertEqual([{'value': 2, **label._asdict()}], found['dunlinsaddle.calls'])
-        self.assertEqual([{'value': 3, 'reason': 'overloaded'}], found['dunlinsaddle.shed'])
-        self.assertEqual(60.305, found['dunlinsaddle.queue_time'][0]['value'])
-        self.assertEqual(3, found['dunlinsaddle.queued'][0]['value'])
-        buckets = {b['le']: b['value'] for b in found['dunlinsaddle.queue_time_bucket']}
-        self.assertEqual((0, 1, 1, 2, 3), tuple(buckets[le] for le in LE))
-        self.assertEqual(0.25, found['dunlinsaddle.added_time'][0]['value'])
-        self.assertEqual(1, found['dunlinsaddle.answered'][0]['value'])
+        values = metrics.read()
+        self.assertEqual([{'value': 2, **label._asdict()}], values['dunlinsaddle.calls'])
+        self.assertEqual([{'value': 3, 'reason': 'overloaded'}], values['dunlinsaddle.shed'])
+        self.assertEqual(60.305, values['dunlinsaddle.queue_time'][0]['value'])
+        self.assertEqual(3, values['dunlinsaddle.queued'][0]['value'])
+        buckets = {b['le']: b['value'] for b in values['dunlinsaddle.queue_time_bucket']}
+        self.assertEqual((0, 1, 1, 2, 3), tuple(buckets[le] for le in BOUNDS))
+        self.assertEqual(0.25, values['dunlinsaddle.added_time'][0]['value'])
+        self.assertEqual(1, values['dunlinsaddle.answered'][0]['value'])
         metrics.close()
 
-    def test_collector_gets_what_the_face_shows(self):
-        # The real exporter sends to a listener on this loop, which can answer only while the
-        # export does not hold the loop.
+    def test_counters_are_exported_to_the_collector(self):
+        # The real exporter sends to a listener on the same event loop, which can only respond if
+        # the export does not block the loop.
         async def scenario():
             bodies: asyncio.Queue[tuple[str, bytes]] = asyncio.Queue()
 
@@ -46,8 +46,8 @@
                 bodies.put_nowait((req.path, req.body))
                 return HttpResponse(200, [], b'')
 
-            face = HttpListener(collect, HttpLimits())
-            address = await face.listen(Address('127.0.0.1', 0))
+            listener = HttpListener(collect, HttpLimits())
+            address = await listener.listen(Address('127.0.0.1', 0))
             stats = Stats()
             stats.retries = 7
             metrics = Metrics(
@@ -58,7 +58,7 @@
             sent = await asyncio.wait_for(bodies.get(), 10)
             task.cancel()
             await asyncio.gather(task, return_exceptions=True)
-            face.close()
+            listener.close()
             return sent
 
         path, body = asyncio.run(scenario())
--- a/tests/test_node_paused.py
+++ b/tests/test_node_paused.py
@@ -12,8 +12,8 @@
 
 
 class NodePausedTest(PausedClockTest):
-    def test_node_without_a_target_says_so_at_once(self):
-        # The caller gets its refusal at once, not at its deadline, and hears when to come back.
+    def test_node_without_a_target_refuses_immediately(self):
+        # The caller is refused immediately, not at its deadline, and gets a Retry-After header.
         async def scenario():
             settings = build_settings(
                 callers='127.0.0.1:1',
@@ -25,12 +25,12 @@
             store = FakeStore()
             await store.put(RECORDS, 'cut-orders', {'record': build_document()}, 0)
             node.use_store(store)
-            faces = await node.start()
+            addresses = await node.start()
             await asyncio.sleep(1)
-            began = asyncio.get_running_loop().time()
+            started_at = asyncio.get_running_loop().time()
             req = HttpRequest('GET', '/cut-orders/orders/1', [], b'', '')
-            exchange = await HttpClient().send(faces.callers, req, 10)
-            elapsed = asyncio.get_running_loop().time() - began
+            exchange = await HttpClient().send(addresses.callers, req, 10)
+            elapsed = asyncio.get_running_loop().time() - started_at
             await node.stop()
             return exchange, elapsed
 
@@ -42,20 +42,21 @@
         self.assertEqual(b'1', headers[b'retry-after'])
         self.assertLess(elapsed, 0.1)
 
-    def test_added_time_leaves_out_what_a_call_waits_for(self):
-        # Two calls at a target that takes one: the second waits in the queue. On a paused
-        # clock the nodes themselves take no time, so what is left is what was left out wrongly.
+    def test_added_time_excludes_time_spent_waiting(self):
+        # Two calls to a target that takes one at a time: the second waits in the queue. On a
+        # paused clock the nodes take no time themselves, so any added time is queue or target
+        # time that was not subtracted.
         async def scenario():
             pair = await Pair(SleepingTarget(), targets={'connections': 1}).start()
             await asyncio.gather(*(pair.call(pair.entry, n, sleep='0.3') for n in range(2)))
             await pair.call(pair.beside, 3)
-            found = [(n.stats.answered, n.stats.added_time) for n in (pair.entry, pair.beside)]
+            totals = [(n.stats.answered, n.stats.added_time) for n in (pair.entry, pair.beside)]
             queued = pair.beside.stats.queue_time_buckets
             await pair.stop()
-            return found, sum(queued), queued[8]
+            return totals, sum(queued), queued[8]
 
-        found, queued, at_half_a_second = self.run_paused(scenario())
-        self.assertEqual([2, 3], [answered for answered, _ in found])
-        for _, added in found:
+        totals, queued, below_half_a_second = self.run_paused(scenario())
+        self.assertEqual([2, 3], [answered for answered, _ in totals])
+        for _, added in totals:
             self.assertLess(added, 0.01)
-        self.assertEqual((1, 1), (queued, at_half_a_second))
+        self.assertEqual((1, 1), (queued, below_half_a_second))
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -7,14 +7,14 @@
 from dunlinsaddle.settings import env_name
 from tests.builders import OPERATOR_TOKEN, PEER_KEY, build_environment
 
-GOOD = {
+VALID_SETTINGS = {
     'instance': 'bangor-1',
     'domain': 'bangor-hall',
     'platform': '127.0.0.1:9',
     'peer-key': PEER_KEY,
     'operator-token': OPERATOR_TOKEN,
 }
-WRONG = (
+INVALID_VALUES = (
     ('instance', 'bangor 1'),
     ('instance', 'x' * 65),
     ('domain', 'bängor'),
@@ -43,57 +43,57 @@
         argv = [f'--{name}={text}' for name, text in flags.items()]
         return run_daemon(['--check', *argv], env), env.stderr.getvalue()
 
-    def test_good_settings_pass_from_flags_and_from_the_environment(self):
-        environ = {env_name(name): text for name, text in GOOD.items()}
-        self.assertEqual((0, ''), self.check(GOOD))
+    def test_valid_settings_are_accepted_from_flags_and_from_the_environment(self):
+        environ = {env_name(name): text for name, text in VALID_SETTINGS.items()}
+        self.assertEqual((0, ''), self.check(VALID_SETTINGS))
         self.assertEqual((0, ''), self.check({}, environ))
         status, line = self.check({'instance': 'no good'}, environ)
         self.assertEqual(2, status, line)
 
-    def test_wrong_value_ends_with_one_line_that_names_it(self):
-        for name, text in WRONG:
-            status, line = self.check({**GOOD, name: text})
+    def test_invalid_value_is_reported_in_one_line_with_its_setting(self):
+        for name, text in INVALID_VALUES:
+            status, line = self.check({**VALID_SETTINGS, name: text})
             self.assertEqual(2, status, name)
             self.assertEqual(1, line.count('\n'))
             self.assertIn(f"{name}: '{text or '(empty)'}' cannot be used, expected ", line)
 
-    def test_missing_value_names_flag_and_variable(self):
-        for name in GOOD:
-            status, line = self.check({n: t for n, t in GOOD.items() if n != name})
+    def test_missing_value_is_reported_with_its_flag_and_variable(self):
+        for name in VALID_SETTINGS:
+            status, line = self.check({n: t for n, t in VALID_SETTINGS.items() if n != name})
             self.assertEqual(2, status)
             self.assertIn(f'{name} is missing: give --{name} or {env_name(name)}', line)
 
-    def test_wrong_secret_is_not_shown(self):
+    def test_invalid_secret_is_not_shown(self):
         for text in ('short', 'with a space', 'a-key-för-tests'):
-            status, line = self.check({**GOOD, 'peer-key': text})
+            status, line = self.check({**VALID_SETTINGS, 'peer-key': text})
             self.assertEqual(2, status)
             self.assertNotIn(text, line)
 
-    def test_two_faces_on_one_port_are_refused(self):
+    def test_two_listeners_on_one_port_are_refused(self):
         for host in ('127.0.0.1', '0.0.0.0'):
             status, line = self.check(
-                {**GOOD, 'callers': f'{host}:7401', 'operators': '127.0.0.1:7401'}
+                {**VALID_SETTINGS, 'callers': f'{host}:7401', 'operators': '127.0.0.1:7401'}
             )
             self.assertEqual(2, status)
             self.assertIn('operators', line)
             self.assertIn('another port than that of callers', line)
 
-    def test_secret_from_a_file(self):
+    def test_secret_is_read_from_a_file(self):
         temporary = tempfile.TemporaryDirectory()
         self.addCleanup(temporary.cleanup)
-        folder = Path(temporary.name)
-        (folder / 'key').write_text(f'{PEER_KEY}\n')
-        flags = {n: t for n, t in GOOD.items() if n != 'peer-key'}
-        self.assertEqual(0, self.check({**flags, 'peer-key-file': str(folder / 'key')})[0])
+        directory = Path(temporary.name)
+        (directory / 'key').write_text(f'{PEER_KEY}\n')
+        flags = {n: t for n, t in VALID_SETTINGS.items() if n != 'peer-key'}
+        self.assertEqual(0, self.check({**flags, 'peer-key-file': str(directory / 'key')})[0])
         cases = (
-            ({**flags, 'peer-key-file': str(folder / 'none')}, 'No such file'),
-            ({**GOOD, 'peer-key-file': str(folder / 'key')}, 'only one of'),
+            ({**flags, 'peer-key-file': str(directory / 'none')}, 'No such file'),
+            ({**VALID_SETTINGS, 'peer-key-file': str(directory / 'key')}, 'only one of'),
         )
-        for wrong, text in cases:
-            status, line = self.check(wrong)
+        for settings, text in cases:
+            status, line = self.check(settings)
             self.assertEqual(2, status)
             self.assertIn(text, line)
 
-    def test_unknown_flag_ends_with_status_two(self):
-        status, line = self.check({**GOOD, 'instnce': 'x'})
+    def test_unknown_flag_exits_with_status_two(self):
+        status, line = self.check({**VALID_SETTINGS, 'instnce': 'x'})
         self.assertEqual((2, 1), (status, line.count('\n')))
