--- a/dunlinsaddle/admin.py
+++ b/dunlinsaddle/admin.py
@@ -94,8 +94,10 @@
                 return await self._diff(req, service)
             case ('GET', service, 'history'):
                 return await self._history(service)
-        known = len(rest) < 2 or (len(rest) == 2 and rest[1] in ('check', 'diff', 'history'))
-        return _wrong_method(req) if known else _not_found(req)
+        is_known_path = len(rest) < 2 or (
+            len(rest) == 2 and rest[1] in ('check', 'diff', 'history')
+        )
+        return _method_not_allowed(req) if is_known_path else _not_found(req)
 
     async def _handle_other(
         self, req: HttpRequest, rest: list[str], query: dict[str, list[str]]
@@ -115,7 +117,7 @@
                 return await self._history(service)
             case ('POST', 'explain'):
                 return self._explain(req)
-        known = rest in (
+        is_known_path = rest in (
             ['status'],
             ['rollout'],
             ['targets'],
@@ -123,7 +125,7 @@
             ['audit'],
             ['explain'],
         ) or rest[:1] == ['history']
-        return _wrong_method(req) if known else _not_found(req)
+        return _method_not_allowed(req) if is_known_path else _not_found(req)
 
     def _records_in_force(self) -> list[dict[str, Any]]:
         record_cache = self.node.record_cache
@@ -143,17 +145,21 @@
         """Return the record from the platform, or this node's copy if it is unreachable."""
         match await self.node.store.get(RECORDS, service):
             case Ok(None):
-                return _unknown(service)
-            case Ok(held):
-                assert held is not None
-                doc = entry_from_object(held).doc
+                return _unknown_service(service)
+            case Ok(stored):
+                assert stored is not None
+                doc = entry_from_object(stored).doc
                 if doc is None:
-                    return _unknown(service)
-                return json_response({'version': held.version, 'record': doc, 'source': 'platform'})
+                    return _unknown_service(service)
+                return json_response(
+                    {'version': stored.version, 'record': doc, 'source': 'platform'}
+                )
             case Err(_):
                 record = self.node.record_cache.find(service)
                 if record is None:
-                    return _unavailable(Unavailable('this node has no copy of the record either'))
+                    return _unavailable_response(
+                        Unavailable('this node has no copy of the record either')
+                    )
                 version = self.node.record_cache.version(service)
                 doc = encode_record(record)
                 return json_response({'version': version, 'record': doc, 'source': 'node'})
@@ -174,7 +180,7 @@
                 )
                 return json_response({'service': service, 'id': change.id, **accepted._asdict()})
             case Err(rejected):
-                return _rejection(rejected)
+                return _rejection_response(rejected)
 
     async def _check(self, req: HttpRequest, service: str) -> HttpResponse:
         """Check whether a change would be accepted, without writing it."""
@@ -184,15 +190,15 @@
             case Err(failure):
                 return failure_response(failure)
         match await self.node.store.get(RECORDS, service):
-            case Ok(held):
-                failed = validate_change(change, held, self.node.record_cache.newest_schema)
-                if failed is not None:
-                    return failure_response(failed)
-                fields = changed_fields(entry_from_object(held).doc if held else None, change.doc)
-                version = held.version if held else 0
+            case Ok(stored):
+                rejection = validate_change(change, stored, self.node.record_cache.newest_schema)
+                if rejection is not None:
+                    return failure_response(rejection)
+                fields = changed_fields(entry_from_object(stored).doc if stored else None, change.doc)
+                version = stored.version if stored else 0
                 return json_response({'service': service, 'version': version, 'changed': fields})
             case Err(error):
-                return _unavailable(error)
+                return _unavailable_response(error)
 
     async def _diff(self, req: HttpRequest, service: str) -> HttpResponse:
         """Compare a document with the record stored at the platform."""
@@ -202,15 +208,20 @@
             case Err(failure):
                 return failure_response(failure)
         match await self.node.store.get(RECORDS, service):
-            case Ok(held):
-                stored = entry_from_object(held).doc if held else None
-                fields = changed_fields(stored, doc)
-                version = held.version if held else 0
+            case Ok(stored):
+                stored_doc = entry_from_object(stored).doc if stored else None
+                fields = changed_fields(stored_doc, doc)
+                version = stored.version if stored else 0
                 return json_response(
-                    {'service': service, 'version': version, 'changed': fields, 'record': stored}
+                    {
+                        'service': service,
+                        'version': version,
+                        'changed': fields,
+                        'record': stored_doc,
+                    }
                 )
             case Err(error):
-                return _unavailable(error)
+                return _unavailable_response(error)
 
     def _read_change(self, req: HttpRequest, service: str) -> Result[Change, Failure]:
         try:
@@ -218,7 +229,7 @@
         except (msgspec.MsgspecError, UnicodeError, RecursionError) as exc:
             return Err(Failure(ErrorKind.INVALID_RECORD, str(exc)))
         if not body.id:
-            # The id tells a resent change from a new one.
+            # Without an id, a resent change cannot be distinguished from a new one.
             return Err(
                 Failure(ErrorKind.INVALID_RECORD, 'id: expected a unique id for each change')
             )
@@ -243,11 +254,11 @@
     async def _history(self, service: str) -> HttpResponse:
         match await read_history(self.node.store, service):
             case Ok(None):
-                return _unknown(service)
+                return _unknown_service(service)
             case Ok(lines):
                 return json_response([line._asdict() for line in lines or ()])
             case Err(error):
-                return _unavailable(error)
+                return _unavailable_response(error)
 
     async def _audit(self, since: str) -> HttpResponse:
         try:
@@ -259,7 +270,7 @@
             case Ok(lines):
                 return json_response([line._asdict() for line in lines])
             case Err(error):
-                return _unavailable(error)
+                return _unavailable_response(error)
 
     async def _rollout(self) -> Any:
         """Return the lowest record revision among some members of each failure domain."""
@@ -297,7 +308,7 @@
             return failure_response(Failure(ErrorKind.MALFORMED_REQUEST, str(exc)))
         request = ExplainRequest(service=body.service, method=body.method, path=body.path)
         explanation = explain_request(self.node, request)
-        return _unknown(body.service) if explanation is None else json_response(explanation)
+        return _unknown_service(body.service) if explanation is None else json_response(explanation)
 
 
 def _read_json(req: HttpRequest) -> Result[Any, Failure]:
@@ -307,7 +318,7 @@
         return Err(Failure(ErrorKind.INVALID_RECORD, str(exc)))
 
 
-def _rejection(rejected: Rejected) -> HttpResponse:
+def _rejection_response(rejected: Rejected) -> HttpResponse:
     response = failure_response(rejected.failure)
     if rejected.clash is None:
         return response
@@ -316,16 +327,16 @@
     return response._replace(body=body)
 
 
-def _unavailable(error: Unavailable) -> HttpResponse:
+def _unavailable_response(error: Unavailable) -> HttpResponse:
     failure = Failure(ErrorKind.PLATFORM_UNAVAILABLE, error.detail, RETRY_AFTER_SECONDS)
     return failure_response(failure)
 
 
-def _unknown(service: str) -> HttpResponse:
+def _unknown_service(service: str) -> HttpResponse:
     return failure_response(Failure(ErrorKind.UNKNOWN_SERVICE, service))
 
 
-def _wrong_method(req: HttpRequest) -> HttpResponse:
+def _method_not_allowed(req: HttpRequest) -> HttpResponse:
     return failure_response(Failure(ErrorKind.METHOD_NOT_ALLOWED, f'{req.method} {req.path}'))
 
 
--- a/dunlinsaddle/logs.py
+++ b/dunlinsaddle/logs.py
@@ -13,7 +13,7 @@
 MAX_WRITE_BYTES = 4096  #: what a writable pipe accepts without blocking (PIPE_BUF)
 #: Buffer for a reader that has stalled: a few seconds of heavy logging, below one megabyte.
 MAX_BUFFERED_LINES = 2000
-RETRY_SECONDS = 0.1  #: how often a stalled output is tried again
+RETRY_SECONDS = 0.1  #: interval between attempts to write to a stalled output
 
 
 class NonBlockingStream:
@@ -21,7 +21,7 @@
 
     A reader that stops reading fills the pipe. A blocking write would then stop the event loop
     and with it all requests of the node. Lines are buffered instead. If the buffer is full, new
-    lines are dropped; their number is logged once half of the buffer is free.
+    lines are dropped; their number is logged once the buffer is less than half full.
     """
 
     def __init__(self, fileno: int) -> None:
@@ -45,7 +45,7 @@
 
     def flush(self) -> None:
         """Write what the output accepts now, and schedule a retry for the rest."""
-        while self._lines and self._writable():
+        while self._lines and self._is_writable():
             chunk = self._lines[0]
             with contextlib.suppress(BlockingIOError):
                 written = os.write(self.fileno, chunk)
@@ -58,7 +58,7 @@
         if self._lines and self._timer is None:
             self._schedule_retry()
 
-    def _writable(self) -> bool:
+    def _is_writable(self) -> bool:
         poll = select.poll()
         poll.register(self.fileno, select.POLLOUT)
         return any(events & select.POLLOUT for _, events in poll.poll(0))
--- a/dunlinsaddle/loops.py
+++ b/dunlinsaddle/loops.py
@@ -15,7 +15,7 @@
 
     @cached_property
     def loop(self) -> asyncio.AbstractEventLoop:
-        """The event loop, taken from the first use."""
+        """The event loop that was running at the first use."""
         return asyncio.get_running_loop()
 
     def now(self) -> float:
--- a/dunlinsaddle/metrics.py
+++ b/dunlinsaddle/metrics.py
@@ -129,7 +129,7 @@
         ('faults', '{fault}', 'Unhandled exceptions in the node.'),
     )
     for name, unit, description in sums:
-        metrics.counter(f'dunlinsaddle.{name}', unit, description, _field(stats, name))
+        metrics.counter(f'dunlinsaddle.{name}', unit, description, _stats_reader(stats, name))
 
 
 def observe_records(metrics: Metrics, record_cache: RecordCache) -> None:
@@ -173,7 +173,7 @@
     return [(total, {'le': name, **labels}) for name, total in zip(names, totals, strict=True)]
 
 
-def _field(stats: Stats, name: str) -> Callable[[], LabeledValues]:
+def _stats_reader(stats: Stats, name: str) -> Callable[[], LabeledValues]:
     return lambda: [(getattr(stats, name), {})]
 
 
--- a/dunlinsaddle/settings.py
+++ b/dunlinsaddle/settings.py
@@ -9,7 +9,7 @@
 
 ENV_PREFIX = 'DUNLINSADDLE_'
 FILE_SUFFIX = '-file'
-LISTENERS = ('callers', 'local', 'peers', 'gossip', 'operators')
+LISTENER_SETTINGS = ('callers', 'local', 'peers', 'gossip', 'operators')
 LOG_LEVELS = ('debug', 'info', 'warning', 'error')
 
 
@@ -254,9 +254,9 @@
 def _check_listeners(settings: Settings) -> SettingError | None:
     if settings.local.host not in ('127.0.0.1', '::1'):
         return SettingError('local', str(settings.local), 'a loopback address')
-    for index, name in enumerate(LISTENERS):
+    for index, name in enumerate(LISTENER_SETTINGS):
         address: Address = getattr(settings, name)
-        for other in LISTENERS[:index]:
+        for other in LISTENER_SETTINGS[:index]:
             if _conflicts(address, getattr(settings, other)):
                 return SettingError(name, str(address), f'another port than that of {other}')
     return None
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -163,7 +163,7 @@
         # response is a 500, no connection stays open, and the node still works afterwards.
         async def scenario():
             rng = Random(20)
-            next_input = self.fuzz_inputs(rng)
+            next_input = self.input_generator(rng)
             for _ in range(FUZZ_INPUT_COUNT):
                 await self.send_bytes(next_input())
             await asyncio.sleep(100)
@@ -186,7 +186,7 @@
         writer.transport.abort()
         self.assertNotIn(b'HTTP/1.1 500', response)
 
-    def fuzz_inputs(self, rng: Random):
+    def input_generator(self, rng: Random):
         def request(method: str, path: str, body: bytes, token: str) -> bytes:
             head = f'{method} {path} HTTP/1.1\r\nhost: a\r\nauthorization: Bearer {token}\r\n'
             return f'{head}content-length: {len(body)}\r\n\r\n'.encode('latin-1') + body
--- a/tests/test_callers_page.py
+++ b/tests/test_callers_page.py
@@ -12,9 +12,9 @@
 
 
 class CallersPageTest(TestCase):
-    def test_the_table_of_answers_is_that_of_the_code(self):
-        told = {row[:5] for row in ROW.findall(PAGE)}
-        answers = {
+    def test_table_of_responses_matches_the_code(self):
+        documented = {row[:5] for row in ROW.findall(PAGE)}
+        rules = {
             (
                 str(rule.status),
                 kind.value,
@@ -24,10 +24,10 @@
             )
             for kind, rule in RESPONSE_RULES.items()
         }
-        self.assertEqual(answers, told)
+        self.assertEqual(rules, documented)
         self.assertEqual(len(RESPONSE_RULES), len(ROW.findall(PAGE)))
 
-    def test_a_new_key_is_advised_only_where_the_old_one_did_not_run(self):
+    def test_new_key_is_advised_only_if_the_request_did_not_run(self):
         for _, kind, outcome, _, _, advice in ROW.findall(PAGE):
             if 'new key' in advice and 'once you know' not in advice:
                 self.assertEqual(Outcome.NOT_RUN.value, outcome, kind)
--- a/tests/test_drain.py
+++ b/tests/test_drain.py
@@ -5,7 +5,7 @@
 from tests.clock import PausedClockTest
 from tests.fakes.pair import Pair, SleepingTarget
 
-DRAINS = 50
+DRAIN_RUNS = 50
 
 
 class PairTest(PausedClockTest):
@@ -23,7 +23,7 @@
 
 class DrainTest(PairTest):
     def drain_under_load(self):
-        """Drain the node beside the target, with calls through both nodes before and after."""
+        """Drain the target's node, with calls through both nodes before and afterwards."""
 
         async def use(pair):
             loop = asyncio.get_running_loop()
@@ -35,24 +35,24 @@
                 calls.append(loop.create_task(pair.call(node, number, sleep=sleep)))
                 await asyncio.sleep(0.1)
                 if number == 20:
-                    began = loop.time()
+                    started_at = loop.time()
                     drained = loop.create_task(pair.beside.drain())
                 if number == 30:
                     assert not drained.done()
             await drained
             await pair.beside.stop()
-            return began, pair.target, await asyncio.gather(*calls)
+            return started_at, pair.target, await asyncio.gather(*calls)
 
         return self.with_pair(use)
 
-    def test_fifty_drains_under_load_cut_nothing(self):
-        # A target leaves while calls of up to seven seconds run, wait in its queue, and come
-        # in by both nodes. Every call that it started is answered whole to its own caller;
-        # nothing starts later than two seconds after, repeats of slow lookups included;
-        # the others are refused as not run.
+    def test_drains_under_load_cut_no_response(self):
+        # A target drains while calls of up to seven seconds run, wait in its queue and arrive
+        # through both nodes. Every call that it started is answered in full to its own caller.
+        # No call, hedged lookups included, starts more than two seconds after the drain began.
+        # All other calls are refused as not run.
         cut = late = refused = 0
-        for _ in range(DRAINS):
-            began, target, responses = self.drain_under_load()
+        for _ in range(DRAIN_RUNS):
+            started_at, target, responses = self.drain_under_load()
             answered = set()
             for number, response in enumerate(responses):
                 if response is None:
@@ -66,13 +66,13 @@
                 outcome = dict(response.headers)[b'dunlinsaddle-outcome']
                 self.assertEqual(b'not-run', outcome, response)
             cut += len(target.started.keys() - answered) + len(answered - target.finished)
-            late += sum(at > began + 2 for starts in target.started.values() for at in starts)
+            late += sum(at > started_at + 2 for starts in target.started.values() for at in starts)
         self.assertEqual((0, 0), (cut, late))
         self.assertGreater(refused, 0)
 
-    def test_a_target_that_announces_itself_goes_on_draining(self):
-        # The target asks for its drain, and goes on announcing itself every two seconds as
-        # before. Callers are refused until it is replaced: another address ends the drain.
+    def test_announcements_of_a_draining_target_do_not_end_its_drain(self):
+        # The target requests its drain and still announces itself every two seconds. Callers
+        # are refused until it is replaced: an announcement with another address ends the drain.
         async def use(pair):
             local = pair.beside.addresses.local
             await pair.send(local, 'POST', '/-/drain')
@@ -83,9 +83,9 @@
 
         self.assertEqual((503, False), self.with_pair(use))
 
-    def test_a_drained_target_that_comes_back_on_its_port_serves_again(self):
-        # The target drains, ends, and is started anew on the same port ten seconds later.
-        # In between it was found gone, so its announcement is that of a new target.
+    def test_a_drained_target_that_restarts_on_the_same_port_serves_again(self):
+        # The target drains, stops and restarts on the same port ten seconds later. The node has
+        # detected meanwhile that it was gone, so the announcement counts as a new target.
         async def use(pair):
             await pair.send(pair.beside.addresses.local, 'POST', '/-/drain')
             pair.announcing.cancel()
@@ -96,16 +96,16 @@
 
         self.assertEqual(200, self.with_pair(use))
 
-    def test_calls_that_run_elsewhere_are_waited_for(self):
-        # The entry node leaves. It has no call at its own target, but its caller waits for
-        # one at another: closing now would cut that answer.
+    def test_drain_waits_for_calls_that_run_on_other_nodes(self):
+        # The entry node drains. It has no target, but one of its callers waits for a call that
+        # runs on another node: closing now would cut the response.
         async def use(pair):
             loop = asyncio.get_running_loop()
             call = loop.create_task(pair.call(pair.entry, 7, sleep='5'))
             await asyncio.sleep(0.1)
-            began = loop.time()
+            started_at = loop.time()
             await pair.entry.drain()
-            elapsed = loop.time() - began
+            elapsed = loop.time() - started_at
             await pair.entry.stop()
             return await call, elapsed
 
@@ -113,20 +113,20 @@
         self.assertEqual(b'7', response.body)
         self.assertGreater(elapsed, 4.5)
 
-    def test_a_drain_of_an_idle_node_is_over_after_its_notice(self):
+    def test_drain_of_an_idle_node_ends_after_the_notice_period(self):
         async def use(pair):
             loop = asyncio.get_running_loop()
-            began = loop.time()
+            started_at = loop.time()
             await pair.entry.drain()
-            return loop.time() - began
+            return loop.time() - started_at
 
         self.assertLess(self.with_pair(use), 1.1)
 
 
 class CancellationTest(PairTest):
-    def test_a_caller_that_goes_ends_the_work_two_nodes_down(self):
-        # The caller closes its connection to the entry node. The target, two hops below,
-        # sees its connection end and stops; the work so far is counted as wasted.
+    def test_caller_disconnect_cancels_the_work_two_hops_away(self):
+        # The caller closes its connection to the entry node. The connection to the target, two
+        # hops away, is closed too, and the work done so far is counted as wasted.
         async def use(pair):
             task = asyncio.get_running_loop().create_task(pair.call(pair.entry, 1, sleep='9'))
             await asyncio.sleep(0.5)
@@ -136,41 +136,41 @@
 
         self.assertEqual((1, 1, 0), self.with_pair(use))
 
-    def test_the_answer_comes_at_the_deadline_and_the_work_stops(self):
-        # The caller gives one second; the target needs nine. The answer is final and comes
-        # at that second, and the target is stopped.
+    def test_deadline_ends_the_call_and_cancels_the_work(self):
+        # The caller's timeout is one second and the target needs nine. The caller gets a 504
+        # after one second, and the work at the target is cancelled.
         async def use(pair):
             loop = asyncio.get_running_loop()
-            answers = []
+            results = []
             for node in (pair.entry, pair.beside):
-                began = loop.time()
+                started_at = loop.time()
                 response = await pair.call(node, 1, sleep='9', request_timeout='1')
-                answers.append((response.status, round(loop.time() - began, 1)))
+                results.append((response.status, round(loop.time() - started_at, 1)))
             await asyncio.sleep(0.1)
-            return answers, pair.target.cancelled
+            return results, pair.target.cancelled
 
-        answers, cancelled = self.with_pair(use)
-        self.assertEqual([(504, 1.0), (504, 1.0)], answers)
+        results, cancelled = self.with_pair(use)
+        self.assertEqual([(504, 1.0), (504, 1.0)], results)
         self.assertEqual(2, cancelled)
 
-    def test_a_wait_in_the_queue_ends_at_the_deadline(self):
-        # The target stands still with all slots taken, so nothing is released. A call that
-        # waits in its queue is told at its deadline that it did not run.
+    def test_queued_call_is_refused_at_its_deadline(self):
+        # The target hangs with all slots taken, so no slot is released. A call that waits in
+        # the queue is answered at its deadline, as not run.
         async def use(pair):
             loop = asyncio.get_running_loop()
-            target = pair.beside.addresses.callers
+            address = pair.beside.addresses.callers
 
             async def send(number, timeout):
                 headers = {'number': str(number), 'sleep': '50', 'request_timeout': timeout}
-                return await pair.send(target, 'GET', '/cut-orders/orders/1', **headers)
+                return await pair.send(address, 'GET', '/cut-orders/orders/1', **headers)
 
             slots = int(pair.beside.admission.limit)
-            full = [loop.create_task(send(n, '10')) for n in range(slots)]
+            running = [loop.create_task(send(n, '10')) for n in range(slots)]
             await asyncio.sleep(0.1)
-            began = loop.time()
+            started_at = loop.time()
             response = await send(slots, '1')
-            elapsed = loop.time() - began
-            for task in full:
+            elapsed = loop.time() - started_at
+            for task in running:
                 task.cancel()
             return response, elapsed, len(pair.target.started) - slots
 
@@ -179,19 +179,19 @@
         self.assertAlmostEqual(1.0, elapsed, delta=0.05)
         self.assertEqual(0, started_late)
 
-    def test_a_call_that_waited_for_a_target_that_is_gone_did_not_run(self):
-        # All slots are taken for nine seconds and one call waits. The target falls silent and
-        # is taken for gone. When a slot is free there is nobody to give the call to: its
-        # caller hears that it did not run.
+    def test_queued_call_is_not_run_if_the_target_disappears(self):
+        # All slots are taken for nine seconds and one call waits. The target stops announcing
+        # itself and is considered gone. When a slot becomes free there is no target for the
+        # call, so it is answered as not run.
         async def use(pair):
             loop = asyncio.get_running_loop()
             pair.announcing.cancel()
             slots = int(pair.beside.admission.limit)
             calls = (pair.call(pair.beside, n, sleep='9') for n in range(slots))
-            full = [loop.create_task(call) for call in calls]
+            running = [loop.create_task(call) for call in calls]
             await asyncio.sleep(0.1)
             response = await pair.call(pair.beside, slots)
-            await asyncio.gather(*full)
+            await asyncio.gather(*running)
             ran = str(slots) in pair.target.started
             return response, pair.beside.stats.faults, ran
 
@@ -200,7 +200,7 @@
         self.assertEqual(0, faults)
         self.assertFalse(ran)
 
-    def test_a_call_that_cannot_be_sent_after_its_deadline_did_not_run(self):
+    def test_call_without_time_left_is_not_sent(self):
         async def use(pair):
             req = HttpRequest('GET', '/cut-orders/orders/1', [], b'', '')
             await pair.client.send(pair.beside.addresses.callers, req, 0)
