--- a/dunlinsaddle/admin.py
+++ b/dunlinsaddle/admin.py
@@ -21,10 +21,8 @@
 from urllib.parse import parse_qs, unquote, urlsplit
 
 MAX_CHANGE_BYTES = 65_536
-LISTENER_HEADER = (
-    b'dunlinsaddle-face',
-    b'operators',
-)  #: distinguishes this listener from the others
+#: Distinguishes responses of this listener from those of the others.
+LISTENER_HEADER = (b'dunlinsaddle-face', b'operators')
 
 
 class ChangeBody(msgspec.Struct, forbid_unknown_fields=True):
@@ -273,7 +271,7 @@
                 return _unavailable_response(error)
 
     async def _rollout(self) -> Any:
-        """Return the lowest record revision among some members of each failure domain."""
+        """Report, per failure domain, the lowest record revision among the members asked."""
         sync = self.node.sync
         responses_by_domain = await sync.survey_members()
         own_domain = self.node.settings.domain
