--- a/dunlinsaddle/admin.py
+++ b/dunlinsaddle/admin.py
@@ -2,23 +2,33 @@
 
 Changes to records are written to the platform.
 """
+
 import hmac
-import msgspec
 import time
 from collections.abc import Callable
+from typing import Any
+from urllib.parse import parse_qs, unquote, urlsplit
+
+import msgspec
+from result import Err, Ok, Result
+
 from dunlinsaddle.calls.http import HttpRequest, HttpResponse, failure_response, json_response
 from dunlinsaddle.errors import ErrorKind, Failure, problem_document
 from dunlinsaddle.explain import ExplainRequest
 from dunlinsaddle.managed_node import ManagedNode
 from dunlinsaddle.platform.store import Unavailable
 from dunlinsaddle.queries import explain_request, known_targets, node_status
-from dunlinsaddle.records.changes import Change, RETRY_AFTER_SECONDS, Rejected, apply_change, entry_from_object, validate_change
+from dunlinsaddle.records.changes import (
+    RETRY_AFTER_SECONDS,
+    Change,
+    Rejected,
+    apply_change,
+    entry_from_object,
+    validate_change,
+)
 from dunlinsaddle.records.diff import changed_fields
 from dunlinsaddle.records.history import RECORDS, read_audit, read_history
 from dunlinsaddle.records.schema import encode_record
-from result import Err, Ok, Result
-from typing import Any
-from urllib.parse import parse_qs, unquote, urlsplit
 
 MAX_CHANGE_BYTES = 65_536
 #: Distinguishes responses of this listener from those of the others.
@@ -192,7 +202,9 @@
                 rejection = validate_change(change, stored, self.node.record_cache.newest_schema)
                 if rejection is not None:
                     return failure_response(rejection)
-                fields = changed_fields(entry_from_object(stored).doc if stored else None, change.doc)
+                fields = changed_fields(
+                    entry_from_object(stored).doc if stored else None, change.doc
+                )
                 version = stored.version if stored else 0
                 return json_response({'service': service, 'version': version, 'changed': fields})
             case Err(error):
--- a/dunlinsaddle/managed_node.py
+++ b/dunlinsaddle/managed_node.py
@@ -1,5 +1,8 @@
 """The parts of a node that the operators' API uses."""
+
 import logging
+from typing import NamedTuple, Protocol
+
 from dunlinsaddle.calls.dispatch import Dispatcher
 from dunlinsaddle.calls.execute import Executor
 from dunlinsaddle.calls.idempotency import IdempotencyRouter
@@ -12,7 +15,6 @@
 from dunlinsaddle.records.sync import RecordSync
 from dunlinsaddle.settings import Address, Settings
 from dunlinsaddle.stats import Stats
-from typing import NamedTuple, Protocol
 
 
 class ListenAddresses(NamedTuple):
--- a/dunlinsaddle/metrics.py
+++ b/dunlinsaddle/metrics.py
@@ -3,19 +3,22 @@
 A call only costs a few additions in ``Stats``. Instruments are observed on the event loop's
 thread, for the operators' API or for an OTLP collector, so the counters need no lock.
 """
+
 import asyncio
 from collections.abc import Callable, Iterable, Mapping, Sequence
-from dunlinsaddle import __version__
-from dunlinsaddle.calls.idempotency import IdempotencyRouter
-from dunlinsaddle.records.record_cache import RecordCache
-from dunlinsaddle.stats import QUEUE_TIME_BOUNDS, Stats
 from itertools import accumulate
+from typing import Any
+
 from opentelemetry.exporter.otlp.proto.http.metric_exporter import OTLPMetricExporter
 from opentelemetry.metrics import CallbackOptions, Observation
 from opentelemetry.sdk.metrics import MeterProvider
 from opentelemetry.sdk.metrics.export import InMemoryMetricReader, MetricReader, MetricsData
 from opentelemetry.sdk.resources import Resource
-from typing import Any
+
+from dunlinsaddle import __version__
+from dunlinsaddle.calls.idempotency import IdempotencyRouter
+from dunlinsaddle.records.record_cache import RecordCache
+from dunlinsaddle.stats import QUEUE_TIME_BOUNDS, Stats
 
 EXPORT_INTERVAL_SECONDS = 10.0
 EXPORT_TIMEOUT_SECONDS = 5  #: half of the interval, so that exports never overlap
--- a/dunlinsaddle/queries.py
+++ b/dunlinsaddle/queries.py
@@ -1,10 +1,12 @@
 """Read-only queries of a node for the operators' API."""
+
 import asyncio
+from typing import Any
+
 from dunlinsaddle.explain import ExplainRequest, Explanation, explain
 from dunlinsaddle.managed_node import ManagedNode
 from dunlinsaddle.membership.roster import roster_entry_of
 from dunlinsaddle.policy.classify import classify
-from typing import Any
 
 
 def node_status(node: ManagedNode) -> dict[str, Any]:
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -1,6 +1,8 @@
-
 import asyncio
+from random import Random
+
 import msgspec
+
 from dunlinsaddle.admin import MAX_CHANGE_BYTES
 from dunlinsaddle.calls.client import HttpClient
 from dunlinsaddle.calls.connection import Answered
@@ -8,8 +10,13 @@
 from dunlinsaddle.membership.roster import ROSTERS
 from dunlinsaddle.node import Node
 from dunlinsaddle.records.history import RECORDS
-from random import Random
-from tests.builders import OPERATOR_TOKEN, build_document, build_environment, build_logger, build_settings
+from tests.builders import (
+    OPERATOR_TOKEN,
+    build_document,
+    build_environment,
+    build_logger,
+    build_settings,
+)
 from tests.clock import PausedClockTest
 from tests.fakes.store import FakeStore
 
--- a/tests/test_operators_page.py
+++ b/tests/test_operators_page.py
@@ -1,11 +1,12 @@
-
 import re
 import shlex
+from pathlib import Path
+
+from testtools import TestCase
+
 from dunlinsaddle.exit_status import ExitStatus
 from dunlinsaddle.settings import OPTIONS, env_name, secret_file_options
-from pathlib import Path
 from tests.utils import NodeThread
-from testtools import TestCase
 
 PAGE = (Path(__file__).parent.parent / 'docs' / 'OPERATORS.md').read_text()
 
