--- a/dunlinsaddle/cli/argtypes.py
+++ b/dunlinsaddle/cli/argtypes.py
@@ -1,4 +1,4 @@
-"""Arguments of commands, read into their types."""
+"""Parsers for command arguments. Each raises CommandError for a value it cannot use."""
 
 from datetime import UTC, datetime
 from typing import Any
@@ -12,7 +12,7 @@
 
 
 def parse_node_address(name: str, text: str) -> Address:
-    """Read an address, or end the command with what is allowed."""
+    """Parse a ``HOST:PORT`` address; the error states the expected form."""
     try:
         return parse_address(text)
     except ValueError:
@@ -22,7 +22,7 @@
 
 
 def parse_token(name: str, text: str) -> str:
-    """Read a token, or end the command; a wrong one is not shown."""
+    """Parse a token. The error does not repeat an invalid token, as it may be a secret."""
     try:
         return parse_secret(text)
     except ValueError:
@@ -32,7 +32,7 @@
 
 
 def read_document(path: str, env: Environment) -> Any:
-    """Read a JSON document from a file, or from the standard input for ``-``."""
+    """Read a JSON document from a file, or from standard input if the path is ``-``."""
     try:
         if path == '-':
             text = env.stdin.read()
@@ -50,7 +50,7 @@
 
 
 def document_service(doc: Any, path: str) -> str:
-    """Give the service that a document describes."""
+    """Return the name of the service that a record document describes."""
     service = doc.get('service') if isinstance(doc, dict) else None
     if not isinstance(service, str) or not service:
         raise CommandError(ExitStatus.INVALID_RECORD, f'{path}: service is missing, name it')
@@ -58,18 +58,20 @@
 
 
 def parse_timestamp(name: str, text: str, now: float) -> float:
-    """Read a moment in seconds since 1970: a time ago, or a date and time.
+    """Parse a time into seconds since 1970: either an age such as ``2h``, or a date and time.
 
-    >>> moment_argument('since', '2h', 10_000.0)
+    A date and time without an offset is taken as UTC.
+
+    >>> parse_timestamp('since', '2h', 10_000.0)
     2800.0
     """
     unit = {'s': 1, 'm': 60, 'h': 3600, 'd': 86_400}.get(text[-1:])
     if unit and text[:-1].isdecimal():
         return now - float(text[:-1]) * unit
     try:
-        moment = datetime.fromisoformat(text)
+        parsed = datetime.fromisoformat(text)
     except ValueError:
         raise CommandError(
             ExitStatus.USAGE, f'{name}: {text!r} cannot be used, expected 30m, 12h, 7d or a date'
         ) from None
-    return (moment if moment.tzinfo else moment.replace(tzinfo=UTC)).timestamp()
+    return (parsed if parsed.tzinfo else parsed.replace(tzinfo=UTC)).timestamp()
--- a/dunlinsaddle/cli/client.py
+++ b/dunlinsaddle/cli/client.py
@@ -1,4 +1,4 @@
-"""Requests of the command-line tool to a node's operators' face."""
+"""HTTP client of the command-line tool for a node's operators' listener."""
 
 import asyncio
 from typing import Any, NamedTuple
@@ -16,7 +16,7 @@
 from dunlinsaddle.exit_status import ExitStatus
 from dunlinsaddle.settings import Address
 
-_STATUSES = {
+_EXIT_STATUSES = {
     401: ExitStatus.DENIED,
     404: ExitStatus.NOT_FOUND,
     409: ExitStatus.CONFLICT,
@@ -26,21 +26,21 @@
 
 
 class NodeClient(NamedTuple):
-    """Where the node is, and the token to show it."""
+    """Sends requests to one node. Every failure is raised as CommandError."""
 
     address: Address
     token: str
 
     def get(self, path: str) -> Any:
-        """Read a JSON document."""
+        """Send a GET request and return the JSON document of the response."""
         return self._send('GET', path, b'')
 
     def post(self, path: str, value: object) -> Any:
-        """Ask a question that needs a document."""
+        """Send a query whose parameters are a JSON document, and return the response."""
         return self.send('POST', path, value)
 
     def send(self, method: str, path: str, value: object) -> Any:
-        """Send a JSON document; a failure ends the command."""
+        """Send a JSON document and return the JSON document of the response."""
         return self._send(method, path, msgspec.json.encode(value))
 
     def _send(self, method: str, path: str, body: bytes) -> Any:
@@ -51,9 +51,9 @@
         if LISTENER_HEADER not in response.headers:
             raise CommandError(
                 ExitStatus.UNAVAILABLE,
-                f"{self.address} is not a node's operators' face; check --node",
+                f"{self.address} is not a node's operators' listener; check --node",
             )
-        return _read(response)
+        return _parse_response(response)
 
     async def _exchange(self, req: HttpRequest) -> HttpResponse:
         client = HttpClient()
@@ -64,20 +64,20 @@
         detail = exchange.detail
         raise CommandError(
             ExitStatus.UNAVAILABLE,
-            f'no answer from {self.address}: {detail}; check --node and that the node runs',
+            f'no response from {self.address}: {detail}; check --node and that the node is running',
         )
 
 
-def _read(response: HttpResponse) -> Any:
+def _parse_response(response: HttpResponse) -> Any:
     try:
         value = msgspec.json.decode(response.body)
     except msgspec.DecodeError:
         raise CommandError(
-            ExitStatus.ERROR, f'status {response.status}: the answer is not JSON'
+            ExitStatus.ERROR, f'status {response.status}: the response is not JSON'
         ) from None
     if response.status == 200:
         return value
-    status = _STATUSES.get(response.status, ExitStatus.ERROR)
+    status = _EXIT_STATUSES.get(response.status, ExitStatus.ERROR)
     title = str(value.get('title', response.status)).rstrip('.')
     detail = value.get('detail', '')
     raise CommandError(status, f'{title}: {detail}' if detail else title)
--- a/dunlinsaddle/cli/commands/apply.py
+++ b/dunlinsaddle/cli/commands/apply.py
@@ -1,4 +1,4 @@
-"""``apply``: create or change records."""
+"""The ``apply`` command: create or change records."""
 
 from typing import Any, NamedTuple
 
@@ -11,13 +11,13 @@
 from dunlinsaddle.exit_status import ExitStatus
 
 
-class _Planned(NamedTuple):
+class _Change(NamedTuple):
     service: str
     body: dict[str, Any]
 
 
 class ApplyCommand(ChangeCommand):
-    """Writes records, each on the condition that nobody changed it meanwhile."""
+    """Writes records, each only if its stored version is still the expected one."""
 
     name = 'apply'
     description = 'Create or change records, e.g. apply cut-orders.json --why "first record".'
@@ -29,33 +29,37 @@
     ]
 
     def run_command(self) -> ExitStatus:
-        """Check all files, then apply each in turn; the first failure ends the command."""
+        """Check all files, then apply them one by one; the first failure ends the command."""
         docs = [read_document(path, self.env) for path in self.argument('files')]
         services = [
             document_service(doc, path)
             for doc, path in zip(docs, self.argument('files'), strict=True)
         ]
         if len(docs) > 1 and (self.option('expected') or self.option('id')):
-            raise CommandError(ExitStatus.USAGE, 'expected and id go with one file, give just one')
+            raise CommandError(
+                ExitStatus.USAGE, 'expected and id apply to a single file, give just one'
+            )
         node = self.node_client()
-        planned = [self._plan(node, s, d) for s, d in zip(services, docs, strict=True)]
-        # All are checked before one is written: a mistake in the last leaves nothing half done.
-        checks = [node.post(f'/v1/records/{p.service}/check', p.body) for p in planned]
+        changes = [self._build_change(node, s, d) for s, d in zip(services, docs, strict=True)]
+        # Check all before writing any, so that an invalid file leaves no partial change.
+        checks = [node.post(f'/v1/records/{c.service}/check', c.body) for c in changes]
         if self.option('dry-run'):
-            self.write_result(checks, [_preview(check) for check in checks])
+            self.write_result(checks, [_format_check(check) for check in checks])
             return ExitStatus.OK
-        done = [self.send_change(node, 'PUT', p.service, p.body) for p in planned]
-        self.write_result(done, [f'{d["service"]} is at version {d["version"]}' for d in done])
+        applied = [self.send_change(node, 'PUT', c.service, c.body) for c in changes]
+        self.write_result(
+            applied, [f'{a["service"]} is at version {a["version"]}' for a in applied]
+        )
         return ExitStatus.OK
 
-    def _plan(self, node: NodeClient, service: str, doc: Any) -> _Planned:
+    def _build_change(self, node: NodeClient, service: str, doc: Any) -> _Change:
         expected = self.expected_version()
         if expected is None:
             expected = fetch_version(node, service)
         body = {**self.build_change(doc, expected), 'downgrade': self.option('downgrade')}
-        return _Planned(service, body)
+        return _Change(service, body)
 
 
-def _preview(check: dict[str, Any]) -> str:
+def _format_check(check: dict[str, Any]) -> str:
     fields = ', '.join(check['changed']) or 'nothing'
     return f'{check["service"]} at version {check["version"]} would change: {fields}'
--- a/dunlinsaddle/cli/commands/change.py
+++ b/dunlinsaddle/cli/commands/change.py
@@ -1,4 +1,4 @@
-"""What the commands that change records share: who, why, and a send that may be repeated."""
+"""Base class of the commands that change records: author, reason and idempotent sends."""
 
 from typing import Any
 
@@ -14,9 +14,14 @@
 CHANGE_OPTIONS = [
     *NODE_OPTIONS,
     option('why', None, 'The reason, for the audit trail.', flag=False, default=''),
-    option('who', None, f'Who changes it, or {USER_VARIABLE}.', flag=False),
-    option('expected', None, 'The version that must stand there now; 0 for none.', flag=False),
-    option('id', None, 'The id of an earlier send, to settle a lost answer.', flag=False),
+    option('who', None, f'Who makes the change, or {USER_VARIABLE}.', flag=False),
+    option('expected', None, 'The version that must be stored now; 0 for none.', flag=False),
+    option(
+        'id',
+        None,
+        'The id of an earlier send whose response was lost, to repeat it safely.',
+        flag=False,
+    ),
 ]
 
 
@@ -24,7 +29,7 @@
     """A command that changes records."""
 
     def build_change(self, doc: Any, expected: int) -> dict[str, Any]:
-        """Give the body of one change, with an id of its own."""
+        """Return the request body of one change, with a new id unless ``--id`` is set."""
         return {
             'id': self.option('id') or str(uuid6.uuid7()),
             'record': doc,
@@ -34,7 +39,7 @@
         }
 
     def expected_version(self) -> int | None:
-        """Give the version that was asked for, None to take what stands there."""
+        """Return the value of ``--expected``, or None to expect the stored version."""
         text = self.option('expected')
         if text is None:
             return None
@@ -45,14 +50,14 @@
         return int(text)
 
     def send_change(self, node: NodeClient, method: str, service: str, body: dict[str, Any]) -> Any:
-        """Send a change until there is an answer; the id keeps it from being made twice."""
-        for left in reversed(range(MAX_SEND_ATTEMPTS)):
+        """Send a change, and again if no response came; its id prevents a second change."""
+        for attempts_left in reversed(range(MAX_SEND_ATTEMPTS)):
             try:
                 return node.send(method, f'/v1/records/{service}', body)
             except CommandError as exc:
                 if exc.status is not ExitStatus.UNAVAILABLE:
                     raise
-                if not left:
+                if not attempts_left:
                     hint = f'run it again with --id {body["id"]} --expected {body["expected"]}'
                     raise CommandError(
                         exc.status, f'{exc}; whether it was written is not known, {hint}'
@@ -61,7 +66,7 @@
 
 
 def fetch_version(node: NodeClient, service: str) -> int:
-    """Give the version that stands there now, 0 for none."""
+    """Return the stored version of a record, 0 if there is none."""
     try:
         return int(node.get(f'/v1/records/{service}')['version'])
     except CommandError as exc:
--- a/dunlinsaddle/cli/commands/delete.py
+++ b/dunlinsaddle/cli/commands/delete.py
@@ -1,4 +1,4 @@
-"""``delete``: take a record away; its audit trail stays."""
+"""The ``delete`` command: delete a record and keep its audit trail."""
 
 from cleo.helpers import argument
 
@@ -7,7 +7,7 @@
 
 
 class DeleteCommand(ChangeCommand):
-    """Deletes one record on the condition that nobody changed it meanwhile."""
+    """Deletes one record, only if its stored version is still the expected one."""
 
     name = 'delete'
     description = 'Delete a record, e.g. delete slab-stock --why "service retired".'
@@ -21,6 +21,6 @@
         expected = self.expected_version()
         if expected is None:
             expected = fetch_version(node, service)
-        done = self.send_change(node, 'DELETE', service, self.build_change(None, expected))
-        self.write_result(done, [f'{service} is deleted at version {done["version"]}'])
+        deleted = self.send_change(node, 'DELETE', service, self.build_change(None, expected))
+        self.write_result(deleted, [f'{service} is deleted at version {deleted["version"]}'])
         return ExitStatus.OK
--- a/dunlinsaddle/cli/core.py
+++ b/dunlinsaddle/cli/core.py
@@ -1,4 +1,7 @@
-"""The command-line tool: ``main`` prepares, ``program`` works and can be called by tests."""
+"""Entry points of the command-line tool.
+
+``main`` runs it as a process; ``program`` runs one command in process, which tests use.
+"""
 
 import sys
 
@@ -47,7 +50,7 @@
 
 
 def format_overview(name: str) -> str:
-    """Give the help of the whole tool: what each command is for."""
+    """Return the help of the whole tool: each command with its description."""
     commands = sorted([command.name or '', command.description] for command in COMMANDS)
     lines = [f'usage: {name} COMMAND [options]', '', *format_table(commands), '']
     lines += [f'Options and arguments of a command: {name} COMMAND --help.']
@@ -55,8 +58,8 @@
 
 
 def program(argv: list[str], env: Environment) -> int:
-    """Run one command; gives the exit status."""
-    # The library would show the help of its own `list` here, whose name is ours.
+    """Run one command and return its exit status."""
+    # cleo would show the help of its own `list` command, which our `list` replaces.
     if argv in ([], ['help'], ['-h'], ['--help']):
         env.stdout.write(format_overview(env.program_name))
         return ExitStatus.OK if argv else ExitStatus.USAGE
@@ -70,18 +73,18 @@
             ArgvInput([env.program_name, *argv]), StreamOutput(env.stdout), StreamOutput(env.stderr)
         )
     except CleoError as exc:
-        what = ' '.join(str(exc).split()).rstrip('.')
-        env.print_error(f'{what}; see {env.program_name} --help')
+        message = ' '.join(str(exc).split()).rstrip('.')
+        env.print_error(f'{message}; see {env.program_name} --help')
         return ExitStatus.USAGE
     except Exception as exc:
         if DEBUG_FLAG in argv:
             raise
-        env.print_error(f'a fault of this program: {exc!r}; run it with {DEBUG_FLAG} and report it')
+        env.print_error(f'internal error: {exc!r}; run with {DEBUG_FLAG} and report the traceback')
         return ExitStatus.ERROR
 
 
 def main() -> None:
-    """Run the tool as a process."""
+    """Run the tool and exit the process with its status."""
     try:
         status = program(sys.argv[1:], Environment())
     except KeyboardInterrupt:
--- a/dunlinsaddle/cli/definition.py
+++ b/dunlinsaddle/cli/definition.py
@@ -1,4 +1,4 @@
-"""What all commands of the tool share: options, output, and errors in one line."""
+"""Base classes of all commands: common options, output formats and error reporting."""
 
 import traceback
 from datetime import UTC, datetime
@@ -20,21 +20,23 @@
 JSON_OPTION = option('json', None, 'Write one JSON document.')
 NODE_OPTIONS: list[Option] = [
     JSON_OPTION,
-    option('node', None, f"A node's operators' face, or {NODE_VARIABLE}.", flag=False),
+    option(
+        'node', None, f"Address of a node's operators' listener, or {NODE_VARIABLE}.", flag=False
+    ),
     option('token', None, f"The operators' token, or {TOKEN_VARIABLE}.", flag=False),
-    option('debug', None, 'Show where a failure comes from.'),
+    option('debug', None, 'Show the traceback of a failure.'),
 ]
 
 
 class BaseCommand(Command):
-    """A command that writes to its environment and ends with an exit status."""
+    """A command that writes to its environment and returns an exit status."""
 
     def __init__(self, env: Environment) -> None:
         super().__init__()
         self.env = env
 
     def handle(self) -> int:
-        """Do the work; a failure becomes one line and its exit status."""
+        """Run the command; report a CommandError in one line and return its exit status."""
         try:
             return self.run_command()
         except CommandError as exc:
@@ -44,23 +46,23 @@
             return exc.status
 
     def run_command(self) -> ExitStatus:
-        """Do what the command is for."""
+        """Run the command. Subclasses implement it."""
         raise NotImplementedError
 
     def write_result(self, value: Any, lines: list[str]) -> None:
-        """Write a result: as JSON if asked for, else as lines."""
+        """Write ``value`` as JSON if ``--json`` is set, otherwise the given lines."""
         if self.option('json'):
             lines = [msgspec.json.format(msgspec.json.encode(value)).decode()]
         self.env.stdout.write(''.join(f'{line}\n' for line in lines))
 
 
 class NodeCommand(BaseCommand):
-    """A command that asks a node."""
+    """A command that sends requests to a node."""
 
     options = NODE_OPTIONS
 
     def node_client(self) -> NodeClient:
-        """Give the client for the node that flags and variables name."""
+        """Return a client for the node that options or environment variables select."""
         environ = self.env.environ
         text = self.option('node') or environ.get(NODE_VARIABLE) or DEFAULT_NODE
         token = self.option('token') or environ.get(TOKEN_VARIABLE)
@@ -72,9 +74,9 @@
 
 
 def flatten(value: dict[str, Any], prefix: str = '') -> list[list[str]]:
-    """Give a nested object as rows of a dotted name and a value.
+    """Return a nested object as rows of a dotted name and a value.
 
-    >>> flat({'a': 1, 'b': {'c': 2}, 'd': {}})
+    >>> flatten({'a': 1, 'b': {'c': 2}, 'd': {}})
     [['a', '1'], ['b.c', '2'], ['d', '-']]
     """
     rows: list[list[str]] = []
@@ -90,18 +92,18 @@
 
 
 def format_timestamp(seconds: float) -> str:
-    """Give a moment in UTC.
+    """Format a time, in seconds since 1970, as UTC.
 
-    >>> moment(0)
+    >>> format_timestamp(0)
     '1970-01-01T00:00:00Z'
     """
     return datetime.fromtimestamp(seconds, UTC).strftime('%Y-%m-%dT%H:%M:%SZ')
 
 
 def format_table(rows: list[list[str]]) -> list[str]:
-    """Lay rows out in columns.
+    """Align rows in columns and return one line for each row.
 
-    >>> table([['a', 'b'], ['ccc', 'd']])
+    >>> format_table([['a', 'b'], ['ccc', 'd']])
     ['a    b', 'ccc  d']
     """
     if not rows:
--- a/dunlinsaddle/cli/exceptions.py
+++ b/dunlinsaddle/cli/exceptions.py
@@ -1,10 +1,10 @@
-"""What ends a command early."""
+"""Errors that end a command."""
 
 from dunlinsaddle.exit_status import ExitStatus
 
 
 class CommandError(Exception):
-    """A failure to tell a person in one line, with the exit status that goes with it."""
+    """A failure that is reported to the user in one line, with its exit status."""
 
     def __init__(self, status: ExitStatus, message: str) -> None:
         super().__init__(message)
--- a/dunlinsaddle/cli/queries/audit.py
+++ b/dunlinsaddle/cli/queries/audit.py
@@ -1,4 +1,4 @@
-"""``history`` and ``audit``: who changed what, when and why."""
+"""The ``history`` and ``audit`` commands: who changed which records, when and why."""
 
 from typing import Any
 
@@ -19,9 +19,9 @@
     arguments = [argument('service', 'Name of the service.')]
 
     def run_command(self) -> ExitStatus:
-        """Show one line a change, the newest last."""
-        lines = self.node_client().get(f'/v1/records/{self.argument("service")}/history')
-        self.write_result(lines, format_table([HEADINGS, *map(_row, lines)]))
+        """Show one line for each change, the newest last."""
+        changes = self.node_client().get(f'/v1/records/{self.argument("service")}/history')
+        self.write_result(changes, format_table([HEADINGS, *map(_format_row, changes)]))
         return ExitStatus.OK
 
 
@@ -35,28 +35,28 @@
         option(
             'since',
             None,
-            'From when on: 30m, 12h, 7d or 2026-01-31T12:00:00Z.',
+            'Start time: 30m, 12h, 7d (ago) or 2026-01-31T12:00:00Z.',
             flag=False,
             default='7d',
         ),
     ]
 
     def run_command(self) -> ExitStatus:
-        """Show one line a change, the newest last."""
+        """Show one line for each change, the newest last."""
         since = parse_timestamp('since', self.option('since'), self.env.wall_clock())
-        lines = self.node_client().get(f'/v1/audit?since={since!r}')
-        self.write_result(lines, format_table([HEADINGS, *map(_row, lines)]))
+        changes = self.node_client().get(f'/v1/audit?since={since!r}')
+        self.write_result(changes, format_table([HEADINGS, *map(_format_row, changes)]))
         return ExitStatus.OK
 
 
-def _row(line: dict[str, Any]) -> list[str]:
-    changed = 'deleted' if line['deleted'] else ', '.join(line['changed']) or 'nothing'
-    versions = [str(line['before']), str(line['after'])]
+def _format_row(change: dict[str, Any]) -> list[str]:
+    fields = 'deleted' if change['deleted'] else ', '.join(change['changed']) or 'nothing'
+    versions = [str(change['before']), str(change['after'])]
     return [
-        format_timestamp(line['when']),
-        line['service'],
-        line['who'],
+        format_timestamp(change['when']),
+        change['service'],
+        change['who'],
         *versions,
-        changed,
-        line['why'] or '-',
+        fields,
+        change['why'] or '-',
     ]
--- a/dunlinsaddle/cli/queries/nodes.py
+++ b/dunlinsaddle/cli/queries/nodes.py
@@ -1,4 +1,4 @@
-"""``status``, ``rollout``, ``targets``, ``metrics`` and ``explain``: what a node knows."""
+"""Commands that query a node: ``status``, ``rollout``, ``targets``, ``metrics``, ``explain``."""
 
 from cleo.helpers import argument
 
@@ -13,20 +13,20 @@
     description = 'Show the state of a node, e.g. status --node 127.0.0.1:7404.'
 
     def run_command(self) -> ExitStatus:
-        """Show each figure on a line."""
+        """Show one line for each value."""
         status = self.node_client().get('/v1/status')
         self.write_result(status, format_table(flatten(status)))
         return ExitStatus.OK
 
 
 class RolloutCommand(NodeCommand):
-    """Shows how far changes have come."""
+    """Shows which changes of records are in force in each failure domain."""
 
     name = 'rollout'
     description = 'Ask members of each failure domain which changes are in force there.'
 
     def run_command(self) -> ExitStatus:
-        """Show one failure domain a line."""
+        """Show one line for each failure domain."""
         rows = self.node_client().get('/v1/rollout')
         lines = [
             [r['domain'], f'{r["answered"]} of {r["asked"]}', str(r['revision'] or '-')]
@@ -37,13 +37,13 @@
 
 
 class TargetsCommand(NodeCommand):
-    """Lists the targets that a node knows of."""
+    """Lists the targets known to a node."""
 
     name = 'targets'
-    description = 'List the targets that a node knows of, e.g. targets --json.'
+    description = 'List the targets known to a node, e.g. targets --json.'
 
     def run_command(self) -> ExitStatus:
-        """Show one target a line."""
+        """Show one line for each target."""
         targets = self.node_client().get('/v1/targets')
         rows = [[t['service'] or '-', t['instance'], t['domain'], t['state']] for t in targets]
         self.write_result(
@@ -59,7 +59,7 @@
     description = 'Show the metrics of a node, e.g. metrics --json.'
 
     def run_command(self) -> ExitStatus:
-        """Show one value a line, with its attributes."""
+        """Show one line for each value, with its attributes."""
         metrics = self.node_client().get('/v1/metrics')
         rows = [
             [name, str(point.pop('value')), ' '.join(f'{k}={v}' for k, v in point.items())]
@@ -71,7 +71,7 @@
 
 
 class ExplainCommand(NodeCommand):
-    """Shows how a request would be treated."""
+    """Shows how a node would treat a request."""
 
     name = 'explain'
     description = 'Show how a node would treat a request, e.g. explain cut-orders GET /orders/1.'
@@ -82,8 +82,8 @@
     ]
 
     def run_command(self) -> ExitStatus:
-        """Show each part of the answer on a line."""
+        """Show one line for each part of the explanation."""
         body = {name: self.argument(name) for name in ('service', 'method', 'path')}
-        answer = self.node_client().post('/v1/explain', body)
-        self.write_result(answer, format_table(flatten(answer)))
+        explanation = self.node_client().post('/v1/explain', body)
+        self.write_result(explanation, format_table(flatten(explanation)))
         return ExitStatus.OK
--- a/dunlinsaddle/cli/queries/records.py
+++ b/dunlinsaddle/cli/queries/records.py
@@ -1,4 +1,4 @@
-"""``get``, ``list`` and ``diff``: what the records say."""
+"""The ``get``, ``list`` and ``diff`` commands, which read records."""
 
 import msgspec
 from cleo.helpers import argument
@@ -16,21 +16,21 @@
     arguments = [argument('service', 'Name of the service.')]
 
     def run_command(self) -> ExitStatus:
-        """Show the record as it is stored, or as in force here while the platform is out."""
-        answer = self.node_client().get(f'/v1/records/{self.argument("service")}')
-        text = msgspec.json.format(msgspec.json.encode(answer['record'])).decode()
-        self.write_result(answer, [text])
+        """Show the stored record, or while the platform is unreachable the one in force here."""
+        response = self.node_client().get(f'/v1/records/{self.argument("service")}')
+        text = msgspec.json.format(msgspec.json.encode(response['record'])).decode()
+        self.write_result(response, [text])
         return ExitStatus.OK
 
 
 class ListCommand(NodeCommand):
-    """Lists all records."""
+    """Lists the records in force."""
 
     name = 'list'
     description = 'List the services that have a record in force at the node.'
 
     def run_command(self) -> ExitStatus:
-        """Show each service and the version in force."""
+        """Show one line for each service, with the version in force."""
         records = self.node_client().get('/v1/records')
         rows = [
             [
@@ -49,18 +49,18 @@
 
 
 class DiffCommand(NodeCommand):
-    """Compares a file with what is stored."""
+    """Compares a record file with the stored record."""
 
     name = 'diff'
-    description = 'Show which fields of a file differ from what is stored, e.g. diff a.json.'
+    description = 'Show which fields of a file differ from the stored record, e.g. diff a.json.'
     arguments = [argument('file', 'A record file, - for the standard input.')]
 
     def run_command(self) -> ExitStatus:
-        """Show the names of the fields that differ."""
+        """Show one line for each field that differs."""
         path = self.argument('file')
         doc = read_document(path, self.env)
         service = document_service(doc, path)
-        answer = self.node_client().post(f'/v1/records/{service}/diff', doc)
-        lines = answer['changed'] or [f'the same as version {answer["version"]}']
-        self.write_result(answer, lines)
+        response = self.node_client().post(f'/v1/records/{service}/diff', doc)
+        lines = response['changed'] or [f'the same as version {response["version"]}']
+        self.write_result(response, lines)
         return ExitStatus.OK
--- a/dunlinsaddle/cli/queries/replay.py
+++ b/dunlinsaddle/cli/queries/replay.py
@@ -1,4 +1,4 @@
-"""``replay`` and ``bench``: recorded traces against their stated outcomes."""
+"""The ``replay`` and ``bench`` commands: compare replays of traces with expected outcomes."""
 
 from pathlib import Path
 from typing import Any
@@ -24,10 +24,10 @@
 
 
 class ReplayCommand(BaseCommand):
-    """Replays a trace and compares it with its stated outcomes."""
+    """Replays a trace and compares the figures with the expected outcomes."""
 
     name = 'replay'
-    description = 'Replay a trace and compare it with its stated outcomes.'
+    description = 'Replay a trace and compare it with its expected outcomes.'
     arguments = [argument('trace', 'File of the trace, JSON lines.')]
     options = [
         JSON_OPTION,
@@ -35,7 +35,7 @@
     ]
 
     def run_command(self) -> ExitStatus:
-        """Show the figures and each stated outcome; a missed one ends with its own status."""
+        """Show the figures and the outcomes; return EXPECTATION_NOT_MET if one was missed."""
         policy = self.option('policy')
         if policy not in POLICIES:
             allowed = ', '.join(POLICIES)
@@ -44,13 +44,13 @@
         measured = compute_figures(replay(trace, policy))
         checks = check_outcomes(trace, policy, measured)
         self.write_result(
-            _document(trace, policy, measured, checks), _lines(trace, measured, checks)
+            _json_document(trace, policy, measured, checks), _text_lines(trace, measured, checks)
         )
         return ExitStatus.OK if all(c.met for c in checks) else ExitStatus.EXPECTATION_NOT_MET
 
 
 class BenchCommand(BaseCommand):
-    """Replays all traces under all policies and writes the page of figures."""
+    """Replays all traces under each policy and writes the page of figures."""
 
     name = 'bench'
     description = 'Replay all traces, and write the figures and the plot.'
@@ -62,7 +62,7 @@
     ]
 
     def run_command(self) -> ExitStatus:
-        """Write the page; a missed outcome ends with its own status."""
+        """Write the page and the plot; return EXPECTATION_NOT_MET if an outcome was missed."""
         paths = sorted(Path(self.option('traces')).glob('*.jsonl'))
         if not paths:
             raise CommandError(ExitStatus.USAGE, f'{self.option("traces")}: no trace (*.jsonl)')
@@ -73,7 +73,7 @@
 
 
 def load_trace(path: str) -> Trace:
-    """Read a trace, or end the command with the line that is wrong."""
+    """Read a trace file. The CommandError for an invalid trace names the line."""
     try:
         with open(path, encoding='utf-8') as file:
             return read_trace(file)
@@ -83,7 +83,7 @@
         raise CommandError(ExitStatus.INVALID_RECORD, f'{path}: {exc}') from None
 
 
-def _document(trace: Trace, policy: str, measured: Figures, checks: list[OutcomeCheck]) -> Any:
+def _json_document(trace: Trace, policy: str, measured: Figures, checks: list[OutcomeCheck]) -> Any:
     return {
         'trace': trace.header.name,
         'policy': policy,
@@ -101,9 +101,9 @@
     }
 
 
-def _lines(trace: Trace, measured: Figures, checks: list[OutcomeCheck]) -> list[str]:
+def _text_lines(trace: Trace, measured: Figures, checks: list[OutcomeCheck]) -> list[str]:
     rows = [[name, format_figure(getattr(measured, name))] for name in ordered_figure_names(trace)]
-    outcomes = [
+    outcome_rows = [
         [
             'met' if c.met else 'MISSED',
             f'{c.expect.metric} {c.expect.op} {c.expect.value:g}',
@@ -111,4 +111,4 @@
         ]
         for c in checks
     ]
-    return [*format_table(rows), *([''] if outcomes else []), *format_table(outcomes)]
+    return [*format_table(rows), *([''] if outcome_rows else []), *format_table(outcome_rows)]
--- a/dunlinsaddle/replay/__init__.py
+++ b/dunlinsaddle/replay/__init__.py
@@ -1,1 +1,1 @@
-"""Replay of recorded traces through the real decisions, on a paused clock."""
+"""Replay of recorded traces through the product's policies, in simulated time."""
--- a/dunlinsaddle/replay/attempt.py
+++ b/dunlinsaddle/replay/attempt.py
@@ -1,4 +1,4 @@
-"""What a replay knows of one sending of a request, and what its hops hand to each other."""
+"""The state of one attempt of a request, and the values that its hops pass to each other."""
 
 from typing import NamedTuple
 
@@ -8,7 +8,10 @@
 
 
 class Attempt:
-    """One sending of a request by its caller, and the target calls it has cost."""
+    """One send of a request by its caller, and the calls of targets made for it.
+
+    If ``kills`` is set, each target that runs the request crashes.
+    """
 
     __slots__ = (
         'caller',
@@ -44,41 +47,44 @@
         self.failed = False
 
     def record_call_started(self) -> None:
-        """Count a call that a target began to run."""
+        """Count a call that a target started to run."""
         self.calls_started += 1
         if self.failed:
             self.wasted_calls += 1
 
     def record_end(self, *, succeeded: bool) -> None:
-        """Note how the request ended; if it failed, all its calls were wasted."""
+        """Record the outcome of the attempt; if it failed, all its calls were wasted."""
         self.failed = not succeeded
         self.wasted_calls = 0 if succeeded else self.calls_started
 
 
 class Response(NamedTuple):
-    """What comes back to a hop. ``failure`` is None for a whole answer."""
+    """The response to a call. ``failure`` is None if the call succeeded."""
 
     failure: Failure | None = None
     load: Load | None = None
 
     @property
     def kind(self) -> ErrorKind | None:
-        """The kind of the failure."""
+        """The kind of the failure, None if the call succeeded."""
         return self.failure.kind if self.failure else None
 
     @property
     def outcome(self) -> Outcome:
-        """What is known of the work."""
+        """Whether the work was done, as far as is known."""
         return self.failure.outcome if self.failure else Outcome.DONE
 
 
 def failure_response(kind: ErrorKind, load: Load | None = None) -> Response:
-    """Give the answer for a failure."""
+    """Return a response for a failure of a kind."""
     return Response(Failure(kind, retry_after=1.0), load)
 
 
 class CallOrigin(NamedTuple):
-    """The rule that a target works on while it makes a call, and the hop of that call."""
+    """Where a call comes from: the rule that the calling target runs, and the hop of the call.
+
+    A request of a caller has an empty rule and is at hop 0.
+    """
 
     rule: str = ''
     hop: int = 0
--- a/dunlinsaddle/replay/bench.py
+++ b/dunlinsaddle/replay/bench.py
@@ -1,4 +1,4 @@
-"""All traces under the naive and the current policy: a page of figures and a plot."""
+"""The bench: replays all traces under each policy and writes a page of figures and a plot."""
 
 from collections.abc import Callable
 from concurrent.futures import ProcessPoolExecutor
@@ -44,7 +44,7 @@
 
 
 class BenchResult(NamedTuple):
-    """One trace under one policy."""
+    """The figures of one trace under one policy."""
 
     trace: Trace
     policy: str
@@ -52,21 +52,21 @@
 
 
 def write_bench(traces: list[Trace], out: Path, report_progress: Callable[[str], object]) -> int:
-    """Run everything, write the page and the plot; gives the number of missed outcomes."""
+    """Run all replays, write the page and the plot, and return the number of missed outcomes."""
     with ProcessPoolExecutor(WORKER_PROCESSES) as pool:
         jobs = [(trace, policy) for trace in traces for policy in _policies(trace)]
-        rows: list[BenchResult] = []
-        for row in pool.map(_run_job, jobs):
-            rows.append(row)
+        results: list[BenchResult] = []
+        for result in pool.map(_run_job, jobs):
+            results.append(result)
             report_progress(
-                f'{row.trace.header.name} {row.policy} goodput {row.measured.goodput:.3f}'
+                f'{result.trace.header.name} {result.policy} goodput {result.measured.goodput:.3f}'
             )
-        trade = _bias_lines(traces, out, pool)
-    missed = [line for row in rows for line in _missed_lines(row)]
-    lines = [PAGE_HEADER, *_table_lines(rows), '## Outcomes that were missed', '']
-    lines += [*(missed or ['None.']), '', *trade]
+        bias_lines = _bias_lines(traces, out, pool)
+    missed_lines = [line for result in results for line in _missed_lines(result)]
+    lines = [PAGE_HEADER, *_table_lines(results), '## Outcomes that were missed', '']
+    lines += [*(missed_lines or ['None.']), '', *bias_lines]
     (out / PAGE_FILE).write_text('\n'.join(lines) + '\n', encoding='utf-8')
-    return len(missed)
+    return len(missed_lines)
 
 
 def _policies(trace: Trace) -> tuple[str, ...]:
@@ -78,40 +78,40 @@
     return BenchResult(trace, policy, compute_figures(replay(trace, policy)))
 
 
-def _missed_lines(row: BenchResult) -> list[str]:
+def _missed_lines(result: BenchResult) -> list[str]:
     return [
-        f'- {row.trace.header.name}, {row.policy}: {c.expect.metric} {c.expect.op} '
+        f'- {result.trace.header.name}, {result.policy}: {c.expect.metric} {c.expect.op} '
         f'{c.expect.value:g}, measured {format_figure(c.measured)}'
-        for c in check_outcomes(row.trace, row.policy, row.measured)
+        for c in check_outcomes(result.trace, result.policy, result.measured)
         if not c.met
     ]
 
 
-def _table_lines(rows: list[BenchResult]) -> list[str]:
-    """Give one table for the traces that put recovery first, one for the others."""
+def _table_lines(results: list[BenchResult]) -> list[str]:
+    """Return one table for the traces that report recovery first, and one for the others."""
     lines: list[str] = []
     for first, title in (('recovery', 'Recovery first'), ('goodput', 'Goodput first')):
-        chosen = [row for row in rows if row.trace.header.first == first]
+        chosen = [result for result in results if result.trace.header.first == first]
         if not chosen:
             continue
         names = [n for n in ordered_figure_names(chosen[0].trace) if n in FIGURE_COLUMNS]
         lines += [f'## {title}', '', f'| trace | policy | {" | ".join(names)} |']
         lines += ['|---' * (len(names) + 2) + '|']
-        for row in chosen:
-            values = ' | '.join(format_figure(getattr(row.measured, name)) for name in names)
-            lines.append(f'| {row.trace.header.name} | {row.policy} | {values} |')
+        for result in chosen:
+            values = ' | '.join(format_figure(getattr(result.measured, name)) for name in names)
+            lines.append(f'| {result.trace.header.name} | {result.policy} | {values} |')
         lines.append('')
     return lines
 
 
 def _bias_lines(traces: list[Trace], out: Path, pool: ProcessPoolExecutor) -> list[str]:
-    """Run the traces that ask for it under several biases, and draw the plot."""
+    """Run the traces with ``bias_trade`` under several recovery biases, and draw the plot."""
     lines = ['## What recovery_bias trades', '', '| trace | bias | goodput | recovery | wasted |']
     lines.append('|---|---|---|---|---|')
     curves: list[Curve] = []
     for trace in (t for t in traces if t.header.bias_trade):
         jobs = [(_with_bias(trace, bias), 'current') for bias in RECOVERY_BIASES]
-        figures = [row.measured for row in pool.map(_run_job, jobs)]
+        figures = [result.measured for result in pool.map(_run_job, jobs)]
         for bias, measured in zip(RECOVERY_BIASES, figures, strict=True):
             cells = (measured.goodput, measured.recovery, measured.wasted)
             text = ' | '.join(format_figure(cell) for cell in cells)
--- a/dunlinsaddle/replay/current_node.py
+++ b/dunlinsaddle/replay/current_node.py
@@ -1,4 +1,4 @@
-"""The fake node that decides by the policy of the product."""
+"""The simulated node that uses the product's policy."""
 
 from dunlinsaddle.errors import ErrorKind, Failure
 from dunlinsaddle.policy.admission import AdmissionPolicy, Load
@@ -21,7 +21,10 @@
 
 
 class CurrentNode(FakeNode):
-    """A node with the policy of the product; without ``levels`` it sheds only locally."""
+    """A node with the product's policy.
+
+    Without ``levels`` it sheds load only for its own target, not for targets of later hops.
+    """
 
     def __init__(
         self,
@@ -38,7 +41,7 @@
         self.quarantine = Quarantine()
 
     def handle_request(self, attempt: Attempt, call: Call, allowance: RetryAllowance) -> Process:
-        """Let early resends through only up to the record's ratio."""
+        """Handle a request; limit resends before Retry-After to the record's ``resend_ratio``."""
         now, name = self.fleet.loop.now, str(attempt.fingerprint)
         record = self.fleet.records[call.service]
         failure = self.resend_guard.check(
@@ -86,7 +89,10 @@
         allowance: RetryAllowance,
         origin: CallOrigin = EXTERNAL_ORIGIN,
     ) -> Process:
-        """Refuse early what deeper hops would refuse, else send with the shared allowance."""
+        """Refuse a call that a later hop would refuse, otherwise send it.
+
+        Resends use up the retry allowance that all hops of a request share.
+        """
         loop = self.fleet.loop
         refusal = self._early_refusal(attempt, call, origin)
         if refusal is not None:
--- a/dunlinsaddle/replay/events.py
+++ b/dunlinsaddle/replay/events.py
@@ -1,4 +1,4 @@
-"""A paused clock: processes as generators, and a heap of what happens next."""
+"""A discrete-event simulation: processes as generators, and a heap of scheduled callbacks."""
 
 from collections.abc import Callable, Generator
 from heapq import heappop, heappush
@@ -6,7 +6,7 @@
 
 
 class Future:
-    """Something that happens once; the process that yields it goes on with its value."""
+    """A result that is set once; the process that yields it resumes with the value."""
 
     __slots__ = ('_done', '_loop', '_process', '_value')
 
@@ -17,7 +17,7 @@
         self._value: Any = None
 
     def set_result(self, value: Any) -> None:
-        """Let the waiting process go on; only the first call counts."""
+        """Set the value and resume the waiting process; later calls have no effect."""
         if self._done:
             return
         self._done, self._value = True, value
@@ -25,18 +25,18 @@
             self._loop.step(self._process, value)
 
     def add_waiter(self, process: 'Process') -> None:
-        """Take the process that waits."""
+        """Resume a process when the result is set, at once if it is set already."""
         self._process = process
         if self._done:
             self._loop.step(process, self._value)
 
 
-#: Yields seconds to sleep, or a Waiter.
+#: Yields the seconds to sleep, or a Future to wait for.
 Process = Generator[float | Future, Any, Any]
 
 
 class EventLoop:
-    """Runs processes in the order of their times; the clock jumps from event to event."""
+    """Runs callbacks in order of time; the clock moves straight to the time of the next one."""
 
     def __init__(self) -> None:
         self.now = 0.0
@@ -44,16 +44,16 @@
         self._count = 0
 
     def call_at(self, when: float, func: Callable[..., None], *args: Any) -> None:
-        """Call a function at a time."""
+        """Schedule a function call at a time."""
         self._count += 1
         heappush(self._heap, (when, self._count, func, args))
 
     def spawn(self, process: Process) -> None:
-        """Start a process now."""
+        """Start a process at the current time."""
         self.step(process, None)
 
     def step(self, process: Process, value: Any) -> None:
-        """Let a process run up to its next wait."""
+        """Run a process until it waits or ends."""
         try:
             wait = process.send(value)
         except StopIteration:
@@ -64,7 +64,7 @@
             self.call_at(self.now + wait, self.step, process, None)
 
     def run(self, until: float) -> None:
-        """Run all events up to a time."""
+        """Run all scheduled calls up to and including a time."""
         while self._heap and self._heap[0][0] <= until:
             self.now, _, func, args = heappop(self._heap)
             func(*args)
--- a/dunlinsaddle/replay/fakes.py
+++ b/dunlinsaddle/replay/fakes.py
@@ -1,4 +1,4 @@
-"""Small fakes of what the decisions act on: targets with slots, and the network's cuts."""
+"""Simulated targets with execution slots, and the network between failure domains."""
 
 from collections import deque
 from random import Random
@@ -8,9 +8,9 @@
 
 
 class FakeTarget:
-    """A target: so many slots that compute, a queue in order of arrival, connections.
+    """A target with a number of slots, a queue in order of arrival, and limited connections.
 
-    A call holds a connection to its end and a slot only while it computes, not while it
+    A call holds a connection until it ends, but a slot only while it computes, not while it
     waits for other services. A target that has just started is slower for a while.
     """
 
@@ -27,11 +27,14 @@
         self._started = -1e9
 
     def accepts_connections(self) -> bool:
-        """Say whether a connection can be had."""
+        """Return whether the target accepts another connection."""
         return self.is_up and self.open_connections < self.service.connections
 
     def compute(self, stop_at: float) -> Process:
-        """Hold a slot for the time of one call; False when the target died or gave it up."""
+        """Hold a slot for the duration of one call.
+
+        Return False if the target crashed, or stopped the work at ``stop_at``.
+        """
         crash_count = self.crash_count
         if self._busy >= self.service.slots:
             future = Future(self.loop)
@@ -42,24 +45,24 @@
         else:
             self._busy += 1
         seconds = self._draw_service_time()
-        left = stop_at - self.loop.now
-        yield max(min(seconds, left), 0.0)
+        remaining = stop_at - self.loop.now
+        yield max(min(seconds, remaining), 0.0)
         if self.crash_count != crash_count:
             return False
         self._free_slot()
-        return seconds <= left
+        return seconds <= remaining
 
     def crash(self) -> None:
-        """Lose everything in progress."""
+        """Crash: lose all calls that run or wait."""
         self.is_up = False
         self.crash_count += 1
         self._busy = self.open_connections = 0
-        lost, self._queue = self._queue, deque()
-        for future in lost:
+        queued, self._queue = self._queue, deque()
+        for future in queued:
             future.set_result(None)
 
     def start(self) -> None:
-        """Come up, cold."""
+        """Start, with the slowness of a cold target."""
         self.is_up = True
         self._started = self.loop.now
 
@@ -79,12 +82,15 @@
 
 
 class Network:
-    """Which failure domains are cut off from the others; a domain still hears itself."""
+    """Latency and partitions between failure domains.
+
+    An isolated domain still reaches itself.
+    """
 
     def __init__(self, latency: float) -> None:
         self.latency = latency
         self.isolated_domains: set[str] = set()
 
-    def is_reachable(self, one: str, other: str) -> bool:
-        """Say whether a message gets through."""
-        return one == other or not (self.isolated_domains & {one, other})
+    def is_reachable(self, source: str, destination: str) -> bool:
+        """Return whether messages pass between two failure domains."""
+        return source == destination or not (self.isolated_domains & {source, destination})
--- a/dunlinsaddle/replay/naive_node.py
+++ b/dunlinsaddle/replay/naive_node.py
@@ -1,4 +1,4 @@
-"""The fake node that decides as nodes without overload control do."""
+"""The simulated node without overload control."""
 
 from dunlinsaddle.errors import ErrorKind
 from dunlinsaddle.policy.naive import RETRIES_PER_HOP
@@ -10,7 +10,7 @@
 
 
 class NaiveNode(FakeNode):
-    """A node that tries each call four times at each hop, with a timer of its own."""
+    """A node that tries each call up to four times at each hop, each with its own timeout."""
 
     def dispatch(
         self,
@@ -19,7 +19,7 @@
         allowance: RetryAllowance,
         origin: CallOrigin = EXTERNAL_ORIGIN,
     ) -> Process:
-        """Try up to three more targets, whatever the failure was."""
+        """Send a call, and again up to three times after any failure."""
         loop = self.fleet.loop
         response = failure_response(ErrorKind.NO_TARGET)
         for resend in range(RETRIES_PER_HOP + 1):
@@ -33,19 +33,21 @@
                 loop.now + timeout, future.set_result, failure_response(ErrorKind.DEADLINE_EXCEEDED)
             )
             loop.spawn(
-                self._respond(future, self.router.rng.choice(listed), attempt, call, origin.hop)
+                self._send_and_set_result(
+                    future, self.router.rng.choice(listed), attempt, call, origin.hop
+                )
             )
             response = yield future
             if response.failure is None:
                 return response
         return response
 
-    def _respond(
+    def _send_and_set_result(
         self, future: Future, node: FakeNode, attempt: Attempt, call: Call, hop: int
     ) -> Process:
         response = yield from self._send(node, attempt, call, RetryAllowance(0), hop)
         future.set_result(response)
 
     def _stop_time(self, attempt: Attempt) -> float:
-        """Deadlines are not carried down: the target works on for a caller that is gone."""
+        """Return infinity: deadlines are not propagated, so targets work on after a timeout."""
         return float('inf')
--- a/dunlinsaddle/replay/nodes.py
+++ b/dunlinsaddle/replay/nodes.py
@@ -1,4 +1,4 @@
-"""Small fakes of nodes: the real decisions, with latencies in place of connections."""
+"""Simulated nodes: the product's policies, with latencies in place of connections."""
 
 from collections.abc import Callable
 from typing import NamedTuple
@@ -27,23 +27,23 @@
 from dunlinsaddle.replay.fakes import FakeTarget, Network
 from dunlinsaddle.replay.trace import Call
 
-SILENCE_TIMEOUT_SECONDS = 1.0  #: seconds until a silent connection is dropped
-VIEW_DELAY_SECONDS = 0.5  #: seconds until all nodes have heard that a target has gone or come
+SILENCE_TIMEOUT_SECONDS = 1.0  #: until a connection without traffic is closed
+VIEW_DELAY_SECONDS = 0.5  #: until all nodes know that a target has stopped or started
 
 
 class Fleet(NamedTuple):
-    """What all nodes share."""
+    """State that all nodes share."""
 
     loop: EventLoop
     network: Network
     records: dict[str, ServiceRecord]
     nodes: dict[str, list['FakeNode']]
-    is_idempotent: Callable[[str, str], bool]  #: by service and rule
-    on_target_death: Callable[['FakeNode'], None]  #: hears of a target that a request has killed
+    is_idempotent: Callable[[str, str], bool]  #: given service and rule
+    on_target_death: Callable[['FakeNode'], None]  #: called when a request crashed a target
 
 
 class FakeNode:
-    """A node with its target. Subclasses differ in how a call is sent on."""
+    """A node with its target. Subclasses implement how a call is sent to other nodes."""
 
     def __init__(
         self,
@@ -63,7 +63,7 @@
         self._ticket_count = 0
 
     def handle_request(self, attempt: Attempt, call: Call, allowance: RetryAllowance) -> Process:
-        """Take a request of a caller."""
+        """Handle a request of a caller."""
         return (yield from self.dispatch(attempt, call, allowance))
 
     def dispatch(
@@ -73,15 +73,15 @@
         allowance: RetryAllowance,
         origin: CallOrigin = EXTERNAL_ORIGIN,
     ) -> Process:
-        """Send a call to targets of its service until one answer is final."""
+        """Send a call to targets of its service until a response is final."""
         raise NotImplementedError
 
     def _check_quarantine(self, attempt: Attempt) -> Failure | None:
-        """Refuse a request that targets have died of."""
+        """Return the failure for a quarantined request, None for any other."""
         return None
 
     def _record_death(self, attempt: Attempt) -> None:
-        """Note that the target died while it ran a request."""
+        """Record that the target crashed while it ran a request."""
 
     def execute(
         self, attempt: Attempt, call: Call, allowance: RetryAllowance, hop: int = 0
@@ -117,14 +117,14 @@
         return (yield from self._run(attempt, call, allowance, ticket))
 
     def crash(self) -> None:
-        """Let the target die; what waits here did not run."""
+        """Crash the target; calls that wait here were not run."""
         self.target.crash()
         for future in list(self._waiting_calls.values()):
             future.set_result(ErrorKind.NO_TARGET)
         self._waiting_calls.clear()
 
     def on_target_restart(self) -> None:
-        """Hear that the target has announced itself anew."""
+        """Reset admission control when the target has announced itself again."""
         if isinstance(self.admission, Admission):
             self.admission.reset_after_restart(self.fleet.loop.now)
 
@@ -137,7 +137,7 @@
             return failure_response(ErrorKind.NO_TARGET)
         self.target.open_connections += 1
         attempt.record_call_started()
-        began = loop.now
+        started_at = loop.now
         if attempt.kills:
             yield self.target.service.service_time
             if self.target.crash_count == crash_count:
@@ -146,7 +146,7 @@
         computed: bool = self.target.crash_count == crash_count
         if computed:
             computed = yield from self.target.compute(self._stop_time(attempt))
-        own_time = loop.now - began
+        own_time = loop.now - started_at
         response = Response()
         if computed and call.calls:
             self.admission.pause(loop.now, ticket)
@@ -173,7 +173,7 @@
         for child in call.calls:
             response: Response = yield from self.dispatch(attempt, child, allowance, origin)
             if response.failure is not None:
-                # The target passes a failure on as its own: the work has partly run here.
+                # The target returns the failure as its own, as part of its work has run.
                 return Response(response.failure)
         return Response()
 
@@ -193,14 +193,14 @@
     def _resume(self, ticket: Ticket, kind: ErrorKind | None) -> None:
         future = self._waiting_calls.pop(ticket.call_id, None)
         if future is not None:
-            # Not at once: who waits may finish too and come back here meanwhile.
+            # Scheduled rather than immediate: the resumed call may finish and re-enter this method.
             self.fleet.loop.call_at(self.fleet.loop.now, future.set_result, kind)
 
     def _load(self, call: Call) -> Load:
         return self.admission.load(self.fleet.loop.now)
 
     def _stop_time(self, attempt: Attempt) -> float:
-        """Give the time at which the target stops work on a call."""
+        """Return the time at which the target stops work on a call."""
         return attempt.deadline
 
     def _send(
@@ -208,18 +208,18 @@
         other: 'FakeNode',
         attempt: Attempt,
         call: Call,
-        delegated: RetryAllowance,
+        allowance: RetryAllowance,
         hop: int,
     ) -> Process:
-        """Hand a call to another node and bring its answer back; lost when cut off."""
+        """Send a call to another node and return its response, or PEER_LOST across a partition."""
         network = self.fleet.network
         if other is self:
-            return (yield from self.execute(attempt, call, delegated, hop))
+            return (yield from self.execute(attempt, call, allowance, hop))
         if not network.is_reachable(self.candidate.domain, other.candidate.domain):
             yield SILENCE_TIMEOUT_SECONDS
             return failure_response(ErrorKind.PEER_LOST)
         yield network.latency
-        response: Response = yield from other.execute(attempt, call, delegated, hop)
+        response: Response = yield from other.execute(attempt, call, allowance, hop)
         yield network.latency
         if not network.is_reachable(self.candidate.domain, other.candidate.domain):
             yield SILENCE_TIMEOUT_SECONDS
--- a/dunlinsaddle/replay/plot.py
+++ b/dunlinsaddle/replay/plot.py
@@ -1,21 +1,21 @@
-"""A small scatter plot with lines, as SVG: recovery time over goodput."""
+"""A line plot of recovery time against goodput, as SVG."""
 
 from typing import NamedTuple
 
 WIDTH, HEIGHT, MARGIN = 640, 400, 60
 COLOURS = ('#1b6ca8', '#c0392b', '#2e8b57', '#8e44ad')
-MAX_RECOVERY_SECONDS = 30.0  #: seconds at which a recovery that never came is drawn
+MAX_RECOVERY_SECONDS = 30.0  #: an infinite recovery time is drawn at this value
 
 
 class Curve(NamedTuple):
-    """Points (goodput, seconds of recovery) of one trace, in order of the bias."""
+    """Points (goodput, recovery time in seconds) of one trace, in order of recovery bias."""
 
     name: str
     points: list[tuple[float, float]]
 
 
 def plot(curves: list[Curve]) -> str:
-    """Draw the curves."""
+    """Return an SVG document with the curves."""
     points = [(g, min(r, MAX_RECOVERY_SECONDS)) for curve in curves for g, r in curve.points]
     low = min((g for g, _ in points), default=0.0) - 0.02
     high = max((g for g, _ in points), default=1.0) + 0.02
--- a/dunlinsaddle/replay/run.py
+++ b/dunlinsaddle/replay/run.py
@@ -1,4 +1,4 @@
-"""Runs a trace against a policy and measures what came of each request."""
+"""Replays a trace under a policy and records the outcome of each request."""
 
 from dataclasses import dataclass, field
 from random import Random
@@ -22,12 +22,12 @@
 
 POLICIES = ('naive', 'current', 'local')
 MIN_PAUSE_SECONDS = 0.001
-RESTART_SECONDS = 3.0  #: until a target that died is up again
+RESTART_SECONDS = 3.0  #: until a crashed target is up again
 
 
 @dataclass(slots=True)
 class Request:
-    """One request of a caller over all its sendings. Times in seconds."""
+    """One request of a caller with all its attempts. Times in seconds."""
 
     chain: str
     rank: Rank
@@ -41,16 +41,16 @@
 
 @dataclass(slots=True)
 class ReplayResult:
-    """What a replay gave."""
+    """The requests and crashes of one replay."""
 
     trace: Trace
     policy: str
     requests: list[Request] = field(default_factory=list)
-    deaths: int = 0  #: targets that died of a request
+    deaths: int = 0  #: crashes of targets caused by a request
 
 
 class Replay:
-    """One trace under one policy."""
+    """A replay of one trace under one policy."""
 
     def __init__(self, trace: Trace, policy: str) -> None:
         self.trace = trace
@@ -73,23 +73,23 @@
             self._on_target_death,
         )
         for name, service in trace.services.items():
-            self.fleet.nodes[name] = [self._node(name, i) for i in range(service.targets)]
+            self.fleet.nodes[name] = [self._build_node(name, i) for i in range(service.targets)]
         self.entry_nodes = [node for nodes in self.fleet.nodes.values() for node in nodes]
 
     def run(self) -> ReplayResult:
-        """Run the trace to its end, and past it until all requests have ended."""
+        """Run the trace to its end, and on until all requests have ended."""
         for demand in self.trace.demands:
-            self.loop.spawn(self._demand(demand))
+            self.loop.spawn(self._generate_demand(demand))
         for arrival in self.trace.arrivals:
-            self.loop.call_at(arrival.at, self._arrive, arrival)
+            self.loop.call_at(arrival.at, self._start_arrival, arrival)
         for fault in self.trace.faults:
             self.loop.call_at(fault.at, self._start_fault, fault)
             self.loop.call_at(fault.until, self._end_fault, fault)
-        longest = max(record.deadline for record in self.trace.records.values())
-        self.loop.run(self.trace.header.duration + longest + 1)
+        max_deadline = max(record.deadline for record in self.trace.records.values())
+        self.loop.run(self.trace.header.duration + max_deadline + 1)
         return self.result
 
-    def _node(self, service: str, number: int) -> FakeNode:
+    def _build_node(self, service: str, number: int) -> FakeNode:
         trace = self.trace
         domain = trace.header.domains[number % len(trace.header.domains)]
         candidate = Candidate(f'{service}-{number}', domain)
@@ -104,7 +104,7 @@
         levels = ChainLevels() if self.policy == 'current' else None
         return CurrentNode(self.fleet, candidate, target, admission, router, levels)
 
-    def _demand(self, demand: Demand) -> Process:
+    def _generate_demand(self, demand: Demand) -> Process:
         chains = list(self.trace.chains.values())
         weights = [chain.share for chain in chains]
         rate = demand.load * saturation_rate(self.trace)
@@ -112,28 +112,28 @@
         while self.loop.now < demand.until:
             chain = self.rng.choices(chains, weights)[0]
             caller = f'caller-{self.rng.randrange(self.trace.callers.count)}'
-            self.loop.spawn(self._request(chain, caller, kills=False))
+            self.loop.spawn(self._run_request(chain, caller, kills=False))
             yield self.rng.expovariate(rate)
 
-    def _arrive(self, arrival: Arrival) -> None:
+    def _start_arrival(self, arrival: Arrival) -> None:
         chain = self.trace.chains[arrival.chain]
-        self.loop.spawn(self._request(chain, arrival.caller, kills=arrival.kills))
+        self.loop.spawn(self._run_request(chain, arrival.caller, kills=arrival.kills))
 
-    def _request(self, chain: Chain, caller: str, *, kills: bool) -> Process:
-        """Send a request, again as its caller does, until it is whole or too late."""
+    def _run_request(self, chain: Chain, caller: str, *, kills: bool) -> Process:
+        """Send a request, and resend it as its caller does, until it succeeds or is too late."""
         rank = chain_rank(self.trace, chain)
         req = Request(chain.name, rank, caller, self.loop.now, kills)
         self.result.requests.append(req)
-        number = len(self.result.requests)
+        request_number = len(self.result.requests)
         deadline = self.loop.now + self.trace.records[chain.service].deadline
         callers = self.trace.callers
         call = Call(chain.service, chain.rule, chain.calls)
-        # Resends keep the request's id, and with it the priority that all hops derive from it.
+        # Resends keep the request's id, and so the priority that all hops derive from it.
         priority = Priority(rank, self.rng.randrange(SLOTS_PER_RANK))
         while True:
-            attempt = Attempt(caller, priority, deadline, fingerprint=number, kills=kills)
+            attempt = Attempt(caller, priority, deadline, fingerprint=request_number, kills=kills)
             req.attempts.append(attempt)
-            failure = yield from self._send(attempt, call)
+            failure = yield from self._send_attempt(attempt, call)
             if failure is None or len(req.attempts) > callers.resends:
                 break
             pause = callers.pause if callers.pause != 'retry-after' else failure.retry_after
@@ -143,16 +143,16 @@
         req.ended_at = self.loop.now
         req.succeeded = failure is None and req.ended_at <= deadline
 
-    def _send(self, attempt: Attempt, call: Call) -> Process:
-        entry = self.rng.choice(self.entry_nodes)
-        while not entry.is_listed:
-            entry = self.rng.choice(self.entry_nodes)
+    def _send_attempt(self, attempt: Attempt, call: Call) -> Process:
+        entry_node = self.rng.choice(self.entry_nodes)
+        while not entry_node.is_listed:
+            entry_node = self.rng.choice(self.entry_nodes)
         yield self.trace.header.clients
         allowance = RetryAllowance(self.trace.records[call.service].retry_bound)
-        response: Response = yield from entry.handle_request(attempt, call, allowance)
+        response: Response = yield from entry_node.handle_request(attempt, call, allowance)
         yield self.trace.header.clients
-        late = self.loop.now > attempt.deadline
-        attempt.record_end(succeeded=response.failure is None and not late)
+        is_late = self.loop.now > attempt.deadline
+        attempt.record_end(succeeded=response.failure is None and not is_late)
         failure: Failure | None = response.failure
         return failure
 
@@ -196,5 +196,5 @@
 
 
 def replay(trace: Trace, policy: str) -> ReplayResult:
-    """Run a trace under a policy."""
+    """Replay a trace under a policy."""
     return Replay(trace, policy).run()
--- a/dunlinsaddle/replay/trace.py
+++ b/dunlinsaddle/replay/trace.py
@@ -1,4 +1,4 @@
-"""The format of a trace: JSON lines, each of one kind, checked before anything runs."""
+"""The format of trace files: JSON lines of several kinds, validated before the replay."""
 
 from collections.abc import Iterable
 from typing import Any, Literal
@@ -16,7 +16,7 @@
 
 
 class TraceError(Exception):
-    """A line that cannot be taken; ``number`` counts from 1."""
+    """An invalid line of a trace; ``number`` counts from 1."""
 
     def __init__(self, number: int, message: str) -> None:
         super().__init__(f'line {number}: {message}')
@@ -24,38 +24,38 @@
 
 
 class Line(msgspec.Struct, tag_field='kind', forbid_unknown_fields=True):
-    """What all lines share."""
+    """Base class of all lines."""
 
 
 class Header(Line, tag='trace'):
-    """The first line. Times in seconds, latencies one way."""
+    """The first line. Times are in seconds, latencies are one way."""
 
     name: str
     duration: float
     domains: list[str]
     seed: int = 1
-    warm_up: float = 5.0  #: seconds that are left out of all figures
+    warm_up: float = 5.0  #: seconds at the start that no figure includes
     between: float = 0.0005  #: latency between failure domains
-    clients: float = 0.001  #: latency to callers
-    first: Literal['recovery', 'goodput'] = 'goodput'  #: which figure is reported first
-    bias_trade: bool = False  #: the bench runs it under several values of recovery_bias
+    clients: float = 0.001  #: latency between callers and nodes
+    first: Literal['recovery', 'goodput'] = 'goodput'  #: figure that is reported first
+    bias_trade: bool = False  #: the bench runs the trace under several values of recovery_bias
 
 
 class Service(Line, tag='service'):
-    """One service: how its targets really are, and the record that describes it."""
+    """One service: the actual properties of its targets, and its record."""
 
     name: str
     targets: int
     slots: int
     service_time: float
     connections: int = 1000
-    cold_factor: float = 3.0  #: how much slower a target is just after its start
+    cold_factor: float = 3.0  #: ratio by which a target is slower just after its start
     cold_seconds: float = 2.0
     record: dict[str, Any] = {}
 
 
 class Call(msgspec.Struct, forbid_unknown_fields=True):
-    """A call that a target makes for a request, and those that follow from it, in order."""
+    """A call that a target makes for a request, and the calls made for it in turn, in order."""
 
     service: str
     rule: str = 'default'
@@ -63,7 +63,7 @@
 
 
 class Chain(Line, tag='chain'):
-    """A kind of request: its first service and rule, its share of demand, what it calls."""
+    """A kind of request: its first service and rule, its share of demand, and its calls."""
 
     name: str
     service: str
@@ -73,7 +73,7 @@
 
 
 class Callers(Line, tag='callers'):
-    """Who sends: equal callers that resend at once, after a pause, or as Retry-After says."""
+    """The callers, all alike: they resend after a pause in seconds (0: at once), or Retry-After."""
 
     count: int = 20
     resends: int = 0
@@ -81,7 +81,7 @@
 
 
 class Demand(Line, tag='demand'):
-    """A phase of demand, as a multiple of what the capacity allows."""
+    """A phase of demand; ``load`` is a multiple of what the capacity allows."""
 
     at: float
     until: float
@@ -98,7 +98,7 @@
 
 
 class Fault(Line, tag='fault'):
-    """A trigger: targets of a service slow or restart, or a failure domain is cut off."""
+    """A fault: targets of a service slow down or restart, or a failure domain is isolated."""
 
     fault: Literal['slow', 'restart', 'cut']
     at: float
@@ -109,7 +109,7 @@
 
 
 class Expect(Line, tag='expect'):
-    """A stated outcome."""
+    """An expected outcome: a bound on a figure under a policy."""
 
     metric: Metric
     op: Literal['>=', '<=']
@@ -121,7 +121,7 @@
 
 
 class Trace(msgspec.Struct):
-    """A whole trace."""
+    """A trace with all its lines."""
 
     header: Header
     services: dict[str, Service] = {}
@@ -134,7 +134,7 @@
     expects: list[Expect] = []
 
     def trigger_end(self) -> float | None:
-        """Give the moment when the last fault or surge ends; None if there is none."""
+        """Return the time when the last fault or surge ends; None if there is none."""
         ends = [f.until + self._cold_seconds(f) for f in self.faults]
         surges = [d.until for d in self.demands if d.load > 1]
         ends += [end for end in surges if end < self.header.duration]
@@ -144,7 +144,7 @@
         return self.services[fault.service].cold_seconds if fault.fault == 'restart' else 0.0
 
     def trigger_start(self) -> float | None:
-        """Give the moment when the first fault or surge begins; None if there is none."""
+        """Return the time when the first fault or surge begins; None if there is none."""
         starts = [f.at for f in self.faults] + [d.at for d in self.demands if d.load > 1]
         return min(starts, default=None)
 
@@ -153,19 +153,19 @@
 
 
 def read_trace(lines: Iterable[str]) -> Trace:
-    """Read a trace. Raises TraceError with the number of the first line that is wrong."""
+    """Read a trace. Raises TraceError with the number of the first invalid line."""
     trace: Trace | None = None
     number = 0
     for number, text in enumerate(lines, 1):
         if not text.strip() or text.startswith('#'):
             continue
-        line = _decode(number, text)
+        line = _decode_line(number, text)
         if trace is None:
             if not isinstance(line, Header):
                 raise TraceError(number, 'expected a line of kind "trace" first')
             trace = Trace(line)
         else:
-            _add(trace, number, line)
+            _add_line(trace, number, line)
     if trace is None:
         raise TraceError(number + 1, 'expected a line of kind "trace", found the end')
     if not trace.chains:
@@ -173,20 +173,20 @@
     return trace
 
 
-def _decode(number: int, text: str) -> AnyLine:
+def _decode_line(number: int, text: str) -> AnyLine:
     try:
         return _DECODER.decode(text)
     except msgspec.MsgspecError as exc:
         raise TraceError(number, str(exc)) from None
 
 
-def _add(trace: Trace, number: int, line: AnyLine) -> None:
+def _add_line(trace: Trace, number: int, line: AnyLine) -> None:
     match line:
         case Header():
             raise TraceError(number, 'expected a single line of kind "trace"')
         case Service():
             trace.services[line.name] = line
-            trace.records[line.name] = _record(number, line)
+            trace.records[line.name] = _build_record(number, line)
         case Chain():
             _check_calls(trace, number, [Call(line.service, line.rule, line.calls)])
             trace.chains[line.name] = line
@@ -205,7 +205,7 @@
             trace.expects.append(line)
 
 
-def _record(number: int, service: Service) -> ServiceRecord:
+def _build_record(number: int, service: Service) -> ServiceRecord:
     targets = {'connections': service.connections}
     document = {'schema': 2, 'service': service.name, 'targets': targets, **service.record}
     decoded: Result[ServiceRecord, Failure] = decode_record(document)
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -21,10 +21,10 @@
         self.addCleanup(self.node.__exit__)
         temporary = tempfile.TemporaryDirectory()
         self.addCleanup(temporary.cleanup)
-        self.folder = Path(temporary.name)
+        self.directory = Path(temporary.name)
 
-    def write(self, service: str = 'cut-orders', **changes):
-        path = self.folder / f'{service}.json'
+    def write_record(self, service: str = 'cut-orders', **changes):
+        path = self.directory / f'{service}.json'
         path.write_bytes(msgspec.json.encode(build_document(service, **changes)))
         return str(path)
 
@@ -37,13 +37,13 @@
         self.assertTrue(result.error.startswith('dunlinsaddle: error: '))
         self.assertIn(text, result.error)
 
-    def test_life_of_a_record_can_be_read_from_its_trail(self):
-        first = self.cli('apply', self.write(), '--why', 'first record')
+    def test_history_and_audit_show_every_change_of_a_record(self):
+        first = self.cli('apply', self.write_record(), '--why', 'first record')
         self.assertEqual('cut-orders is at version 1\n', first.output, first.error)
-        path = self.write(deadline=2.0)
+        path = self.write_record(deadline=2.0)
         self.assertEqual('deadline\n', self.cli('diff', path).output)
-        dry = self.cli('apply', '--dry-run', path)
-        self.assertEqual('cut-orders at version 1 would change: deadline\n', dry.output)
+        dry_run = self.cli('apply', '--dry-run', path)
+        self.assertEqual('cut-orders at version 1 would change: deadline\n', dry_run.output)
         self.assertEqual('2', self.cli('apply', path, '--who', 'bob').output.split()[-1])
         self.assertEqual(2.0, self.cli('get', 'cut-orders', '--json').json['record']['deadline'])
         self.assertEqual('the same as version 2\n', self.cli('diff', path).output)
@@ -56,8 +56,8 @@
             self.assertEqual(['2', '3', 'deleted', 'service', 'retired'], rows[3][2:])
         self.assertEqual([], self.cli('audit', '--since', '2999-01-01', '--json').json)
 
-    def test_queries_tell_what_is_in_force(self):
-        self.cli('apply', self.write(), self.write('slab-stock'))
+    def test_queries_show_records_in_force(self):
+        self.cli('apply', self.write_record(), self.write_record('slab-stock'))
         self.node.wait_for_record('cut-orders')
         self.node.wait_for_record('slab-stock')
         self.assertEqual('cut-orders', self.cli('list').output.splitlines()[1].split()[0])
@@ -71,48 +71,52 @@
         self.assertEqual(('release', False), (explained['rule'], explained['idempotent']))
         self.assertEqual(0, self.cli('targets').status)
 
-    def test_one_wrong_file_of_several_leaves_nothing_written(self):
-        wrong = self.write('slab-stock', retry_bound=11)
-        result = self.cli('apply', self.write(), wrong)
+    def test_apply_writes_nothing_if_one_of_several_files_is_invalid(self):
+        invalid = self.write_record('slab-stock', retry_bound=11)
+        result = self.cli('apply', self.write_record(), invalid)
         self.assert_fails(result, ExitStatus.INVALID_RECORD, 'retry_bound: 11: expected 0 to 10')
         self.assertEqual(0, self.node.store.revision)
 
-    def test_conflict_names_the_other_operator_and_what_changed(self):
-        self.cli('apply', self.write())
-        self.cli('apply', self.write(deadline=2.0), '--who', 'bob')
-        result = self.cli('apply', self.write(deadline=3.0), '--expected', '1')
+    def test_conflict_names_the_other_operator_and_the_changed_fields(self):
+        self.cli('apply', self.write_record())
+        self.cli('apply', self.write_record(deadline=2.0), '--who', 'bob')
+        result = self.cli('apply', self.write_record(deadline=3.0), '--expected', '1')
         self.assert_fails(result, ExitStatus.CONFLICT, 'the current version is 2, changed by bob')
         self.assertIn('(deadline)', result.error)
 
-    def test_lost_answer_is_settled_and_the_change_made_once(self):
+    def test_change_is_made_once_when_its_response_is_lost(self):
         self.node.store.lose_answers = 1
-        result = self.cli('apply', self.write(), '--json')
+        result = self.cli('apply', self.write_record(), '--json')
         self.assertEqual((0, True), (result.status, result.json[0]['settled']))
         self.assertEqual(1, len(self.cli('history', 'cut-orders', '--json').json))
 
-    def test_unknown_end_tells_how_to_settle_it(self):
-        # No write arrives and none is answered. The operator hears that the end is unknown
-        # and with which id to ask again; that run makes the change, once.
-        path = self.write()
+    def test_unknown_outcome_can_be_settled_by_repeating_the_id(self):
+        # No write reaches the store and none gets a response. The error says that the outcome
+        # is unknown and with which id to run the command again; doing so makes the change once.
+        path = self.write_record()
         self.node.store.drop_writes = 9
         result = self.cli('apply', path)
         self.assert_fails(result, ExitStatus.UNAVAILABLE, 'whether it was written is not known')
-        again = result.error.partition('run it again with ')[2].split()
-        self.assertEqual(0, self.cli('apply', path, *again).status)
-        self.assertEqual(0, self.cli('apply', path, *again).status)
+        retry_options = result.error.partition('run it again with ')[2].split()
+        self.assertEqual(0, self.cli('apply', path, *retry_options).status)
+        self.assertEqual(0, self.cli('apply', path, *retry_options).status)
         self.assertEqual(1, len(self.cli('history', 'cut-orders', '--json').json))
 
-    def test_failures_are_one_line_with_their_status(self):
-        good = self.write()
+    def test_failure_is_reported_in_one_line_with_its_exit_status(self):
+        valid = self.write_record()
         with socket.socket() as sock:
             sock.bind(('127.0.0.1', 0))
-            closed = f'127.0.0.1:{sock.getsockname()[1]}'
-        callers = str(self.node.addresses.callers)
-        (self.folder / 'text.json').write_text('{')
-        text = str(self.folder / 'text.json')
+            closed_address = f'127.0.0.1:{sock.getsockname()[1]}'
+        callers_address = str(self.node.addresses.callers)
+        (self.directory / 'text.json').write_text('{')
+        not_json = str(self.directory / 'text.json')
         cases = (
-            (['list', '--node', closed], ExitStatus.UNAVAILABLE, 'check --node'),
-            (['list', '--node', callers], ExitStatus.UNAVAILABLE, "not a node's operators' face"),
+            (['list', '--node', closed_address], ExitStatus.UNAVAILABLE, 'check --node'),
+            (
+                ['list', '--node', callers_address],
+                ExitStatus.UNAVAILABLE,
+                "not a node's operators' listener",
+            ),
             (['list', '--node', 'nowhere'], ExitStatus.USAGE, 'expected HOST:PORT'),
             (['list', '--token', 'another-token'], ExitStatus.DENIED, 'give the operator token'),
             (['list', '--token', 'a-token\n'], ExitStatus.USAGE, 'token: cannot be used'),
@@ -121,10 +125,10 @@
             (['delete', 'nothing'], ExitStatus.NOT_FOUND, 'nothing'),
             (['get', 'a/../b'], ExitStatus.NOT_FOUND, 'a/../b'),
             (['apply', 'no-such-file'], ExitStatus.USAGE, 'No such file'),
-            (['apply', text], ExitStatus.INVALID_RECORD, 'not JSON'),
-            (['apply', good, '--expected', 'x'], ExitStatus.USAGE, 'not a version'),
-            (['apply', good, good, '--expected', '1'], ExitStatus.USAGE, 'just one'),
-            (['apply', good, '--expected', '9'], ExitStatus.CONFLICT, 'no such record'),
+            (['apply', not_json], ExitStatus.INVALID_RECORD, 'not JSON'),
+            (['apply', valid, '--expected', 'x'], ExitStatus.USAGE, 'not a version'),
+            (['apply', valid, valid, '--expected', '1'], ExitStatus.USAGE, 'just one'),
+            (['apply', valid, '--expected', '9'], ExitStatus.CONFLICT, 'no such record'),
             (['audit', '--since', 'soon'], ExitStatus.USAGE, "since: 'soon'"),
             (['explain', 'nothing', 'GET', '/'], ExitStatus.NOT_FOUND, 'nothing'),
             (['aply'], ExitStatus.USAGE, 'see dunlinsaddle --help'),
@@ -134,26 +138,26 @@
             self.assert_fails(self.cli(*argv), status, text)
         self.assert_fails(run_cli('list'), ExitStatus.USAGE, 'no operator token')
 
-    def test_platform_that_is_out_is_one_line_and_reads_go_on(self):
-        self.cli('apply', self.write())
+    def test_reads_continue_while_the_platform_is_unreachable(self):
+        self.cli('apply', self.write_record())
         self.node.wait_for_record('cut-orders')
         self.node.store.down = True
-        result = self.cli('apply', self.write(), '--expected', '1')
+        result = self.cli('apply', self.write_record(), '--expected', '1')
         self.assert_fails(result, ExitStatus.UNAVAILABLE, 'The platform cannot be reached')
         self.assertEqual('node', self.cli('get', 'cut-orders', '--json').json['source'])
         self.assertEqual(1, len(self.cli('list', '--json').json))
 
-    def test_debug_shows_where_a_failure_comes_from(self):
+    def test_debug_option_shows_the_traceback(self):
         self.assertIn('Traceback', self.cli('get', 'nothing', '--debug').error)
 
-    def test_help_of_the_tool_names_every_command(self):
+    def test_help_lists_every_command(self):
         for argv, status in (([], 2), (['--help'], 0), (['help'], 0)):
             result = run_cli(*argv)
             self.assertEqual(status, result.status)
             for command in COMMANDS:
                 self.assertIn(f'\n{command.name} ', result.output)
 
-    def test_each_command_says_what_it_is_for(self):
+    def test_help_of_each_command_shows_its_description(self):
         for command in COMMANDS:
             result = self.cli(command.name, '--help')
             self.assertEqual(0, result.status)
--- a/tests/test_differential.py
+++ b/tests/test_differential.py
@@ -8,12 +8,12 @@
 from dunlinsaddle.replay.run import replay
 from dunlinsaddle.replay.trace import read_trace
 
-WORTH = {Rank.CRITICAL: 8, Rank.HIGH: 4, Rank.NORMAL: 2, Rank.LOW: 1}
-SLACK = 0.03  #: of all work: chance moves single requests either way
+VALUE_BY_RANK = {Rank.CRITICAL: 8, Rank.HIGH: 4, Rank.NORMAL: 2, Rank.LOW: 1}
+SLACK = 0.03  #: share of all work; allows for random differences in single requests
 
 
 def chain_trace(slots: list[int], load: float, critical: float, seed: int) -> list[str]:
-    """Give a small trace with one chain over as many services as there are slots."""
+    """Return a small trace of two chains over the same services, one service per slot count."""
     lines: list[dict] = [
         {'kind': 'trace', 'name': 'random', 'duration': 7, 'domains': ['a', 'b'], 'seed': seed}
     ]
@@ -53,10 +53,12 @@
 
 
 def worths(lines: list[str]) -> tuple[int, int, int]:
-    """Give the worth of what the naive and the current policy complete, and of all work."""
+    """Return the value of the work that each policy (naive, current) completes, and of all work."""
     naive, current = (replay(read_trace(lines), name).requests for name in ('naive', 'current'))
-    whole = [sum(WORTH[r.rank] for r in reqs if r.succeeded) for reqs in (naive, current)]
-    return whole[0], whole[1], sum(WORTH[r.rank] for r in current)
+    completed = [
+        sum(VALUE_BY_RANK[r.rank] for r in reqs if r.succeeded) for reqs in (naive, current)
+    ]
+    return completed[0], completed[1], sum(VALUE_BY_RANK[r.rank] for r in current)
 
 
 class DifferentialTest(TestCase):
--- a/tests/utils.py
+++ b/tests/utils.py
@@ -1,4 +1,4 @@
-"""Runs the command-line tool in-process, and a node for it to talk to."""
+"""Runs the command-line tool in process, and a node for it to connect to."""
 
 import asyncio
 import threading
@@ -16,7 +16,7 @@
 
 
 class CliResult(NamedTuple):
-    """How a run of the tool ended."""
+    """The exit status and output of a run of the tool."""
 
     status: int
     output: str
@@ -36,7 +36,7 @@
 
 
 class NodeThread:
-    """A node on a loop in a thread of its own, over a store in memory; a context manager."""
+    """Context manager that runs a node in its own thread, with an in-memory store."""
 
     def __init__(self) -> None:
         self.store = FakeStore(separate_kinds={ROSTERS})
