--- a/standins/caller.py
+++ b/standins/caller.py
@@ -12,10 +12,10 @@
 from dunlinsaddle.calls.messages import Headers
 from dunlinsaddle.settings import Address
 
-REFUSED_PAUSE = 0.1  #: seconds; an impatient caller, who does not heed Retry-After
+REFUSAL_PAUSE_SECONDS = 0.1  #: seconds; an impatient caller, who does not heed Retry-After
 
 
-class Tally(NamedTuple):
+class CallCounts(NamedTuple):
     """What a batch of calls came to."""
 
     statuses: Counter[str]
@@ -42,11 +42,11 @@
         exchange = await self.client.send(node, req, timeout)
         return exchange.response if isinstance(exchange, Answered) else None
 
-    async def press(
-        self, nodes: list[Address], method: str, path: str, seconds: float, at_once: int
-    ) -> Tally:
-        """Send calls for a while, ``at_once`` at a time; each worker pauses after a refusal."""
-        tally = Tally(Counter(), Counter())
+    async def send_for(
+        self, nodes: list[Address], method: str, path: str, seconds: float, concurrency: int
+    ) -> CallCounts:
+        """Send calls for a while, ``concurrency`` at a time; each worker pauses after a refusal."""
+        counts = CallCounts(Counter(), Counter())
         loop = asyncio.get_running_loop()
         end = loop.time() + seconds
 
@@ -54,23 +54,23 @@
             node = nodes[number % len(nodes)]
             while loop.time() < end:
                 response = await self.call(node, method, path)
-                _count(tally, response)
+                _count(counts, response)
                 if response is None or response.status != 200:
-                    await asyncio.sleep(REFUSED_PAUSE)
+                    await asyncio.sleep(REFUSAL_PAUSE_SECONDS)
 
-        await asyncio.gather(*(worker(number) for number in range(at_once)))
-        return tally
+        await asyncio.gather(*(worker(number) for number in range(concurrency)))
+        return counts
 
     def close(self) -> None:
         """Drop all connections."""
         self.client.close()
 
 
-def _count(tally: Tally, response: HttpResponse | None) -> None:
+def _count(counts: CallCounts, response: HttpResponse | None) -> None:
     if response is None:
-        tally.statuses['no answer'] += 1
+        counts.statuses['no answer'] += 1
         return
     outcome = dict(response.headers).get(b'dunlinsaddle-outcome', b'').decode()
-    tally.statuses[f'{response.status} {outcome}'] += 1
+    counts.statuses[f'{response.status} {outcome}'] += 1
     if response.status == 200:
-        tally.targets[msgspec.json.decode(response.body)['target']] += 1
+        counts.targets[msgspec.json.decode(response.body)['target']] += 1
--- a/standins/demo.py
+++ b/standins/demo.py
@@ -11,15 +11,15 @@
 from dunlinsaddle.cli.core import program
 from dunlinsaddle.environment import Environment
 from dunlinsaddle.settings import Address, parse_address
-from standins.caller import Caller, Tally
+from standins.caller import CallCounts, Caller
 from standins.fleet import OPERATOR_TOKEN, Fleet, TargetSpec
 
-RECORDS = Path(__file__).parent.parent / 'examples' / 'llechfaen'
-SETTLE_SECONDS = 10.0
-PRESS_SECONDS = 3.0
-RELEASES = 20
-AT_ONCE = 10
-SURGE_AT_ONCE = 150
+RECORDS_FOLDER = Path(__file__).parent.parent / 'examples' / 'llechfaen'
+SERVED_TIMEOUT_SECONDS = 10.0
+LOAD_SECONDS = 3.0
+RELEASE_COUNT = 20
+CONCURRENCY = 10
+SURGE_CONCURRENCY = 150
 
 # Slots are a tenth of Llechfaen's, so that one machine can push the chain past capacity.
 TARGETS = {
@@ -29,13 +29,13 @@
 }
 
 
-def say(text: str) -> None:
+def print_line(text: str) -> None:
     """Tell the person who runs the demo."""
     sys.stdout.write(f'{text}\n')
     sys.stdout.flush()
 
 
-def operate(operators: str, *argv: str) -> str:
+def run_operator_command(operators: str, *argv: str) -> str:
     """Run the command-line tool in this process; gives what it wrote."""
     out = io.StringIO()
     environ = {
@@ -54,7 +54,7 @@
     """Wait until every node answers calls for a path."""
     caller = Caller()
     loop = asyncio.get_running_loop()
-    deadline = loop.time() + SETTLE_SECONDS
+    deadline = loop.time() + SERVED_TIMEOUT_SECONDS
     for node in nodes:
         while loop.time() < deadline:
             response = await caller.call(node, 'GET', path)
@@ -64,58 +64,61 @@
     caller.close()
 
 
-async def surge(nodes: list[Address], path: str, at_once: int) -> Tally:
+async def send_load(nodes: list[Address], path: str, concurrency: int) -> CallCounts:
     """Send calls for a few seconds, so many at once, and releases of orders among them."""
     caller = Caller()
-    tally, released = await asyncio.gather(
-        caller.press(nodes, 'GET', path, PRESS_SECONDS, at_once), release_orders(caller, nodes)
+    counts, released = await asyncio.gather(
+        caller.send_for(nodes, 'GET', path, LOAD_SECONDS, concurrency),
+        release_orders(caller, nodes),
     )
     caller.close()
-    tally.statuses[f'released of {RELEASES}'] = released
-    return tally
+    counts.statuses[f'released of {RELEASE_COUNT}'] = released
+    return counts
 
 
 async def release_orders(caller: Caller, nodes: list[Address]) -> int:
     """Release orders one after the other, each with a key of its own; gives how many were."""
     released = 0
-    for number in range(RELEASES):
+    for number in range(RELEASE_COUNT):
         headers = [(b'idempotency-key', str(uuid6.uuid7()).encode())]
         node = nodes[number % len(nodes)]
         path = f'/cut-orders/orders/{number}/release'
         response = await caller.call(node, 'POST', path, headers)
         released += response is not None and response.status == 200
-        await asyncio.sleep(PRESS_SECONDS / RELEASES / 2)
+        await asyncio.sleep(LOAD_SECONDS / RELEASE_COUNT / 2)
     return released
 
 
-def report(title: str, tally: Tally) -> None:
+def print_counts(title: str, counts: CallCounts) -> None:
     """Print who answered, and what was refused."""
-    say(title)
-    for status, count in sorted(tally.statuses.items()):
-        say(f'  {status:<16}{count:>5}')
-    for target, count in sorted(tally.targets.items()):
-        say(f'  answered by {target:<14}{count:>5}')
+    print_line(title)
+    for status, count in sorted(counts.statuses.items()):
+        print_line(f'  {status:<16}{count:>5}')
+    for target, count in sorted(counts.targets.items()):
+        print_line(f'  answered by {target:<14}{count:>5}')
 
 
 def main() -> None:
     """Start everything, send calls, stop everything."""
-    began = time.monotonic()
+    started_at = time.monotonic()
     with Fleet() as fleet:
-        say(f'platform on {fleet.platform}')
+        print_line(f'platform on {fleet.platform_address}')
         for name, spec in TARGETS.items():
-            placed = fleet.place(name, spec)
-            say(f'{name}: {spec.service} in {spec.domain}, callers on {placed.faces["callers"]}')
-        operators = fleet.placed['bangor-1'].faces['operators']
-        files = [str(path) for path in sorted(RECORDS.glob('*.json'))]
-        say(operate(operators, 'apply', *files, '--why', 'first records'))
-        nodes = [parse_address(p.faces['callers']) for p in fleet.placed.values()]
+            placed = fleet.deploy(name, spec)
+            print_line(
+                f'{name}: {spec.service} in {spec.domain}, callers on {placed.listeners["callers"]}'
+            )
+        operators = fleet.deployments['bangor-1'].listeners['operators']
+        files = [str(path) for path in sorted(RECORDS_FOLDER.glob('*.json'))]
+        print_line(run_operator_command(operators, 'apply', *files, '--why', 'first records'))
+        nodes = [parse_address(p.listeners['callers']) for p in fleet.deployments.values()]
         asyncio.run(wait_until_served(nodes, '/cut-orders/orders/17'))
-        say(operate(operators, 'targets'))
+        print_line(run_operator_command(operators, 'targets'))
         path = '/cut-orders/orders/17'
-        for at_once in (AT_ONCE, SURGE_AT_ONCE, AT_ONCE):
-            title = f'{at_once} callers at once for {PRESS_SECONDS:g} s:'
-            report(title, asyncio.run(surge(nodes, path, at_once)))
-    say(f'all stopped after {time.monotonic() - began:.1f} s')
+        for concurrency in (CONCURRENCY, SURGE_CONCURRENCY, CONCURRENCY):
+            title = f'{concurrency} callers at once for {LOAD_SECONDS:g} s:'
+            print_counts(title, asyncio.run(send_load(nodes, path, concurrency)))
+    print_line(f'all stopped after {time.monotonic() - started_at:.1f} s')
 
 
 if __name__ == '__main__':
--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -12,8 +12,8 @@
 
 PEER_KEY = 'a-key-for-trials'
 OPERATOR_TOKEN = 'a-token-for-trials'
-START_SECONDS = 15.0
-STOP_SECONDS = 10.0
+START_TIMEOUT_SECONDS = 15.0
+STOP_TIMEOUT_SECONDS = 10.0
 
 
 class TargetSpec(NamedTuple):
@@ -22,9 +22,9 @@
     service: str
     domain: str
     slots: int
-    seconds: float
-    calls: tuple[str, ...] = ()
-    options: tuple[str, ...] = ()  #: further flags of the target
+    service_seconds: float
+    downstream_paths: tuple[str, ...] = ()
+    extra_args: tuple[str, ...] = ()  #: further flags of the target
 
 
 class Process:
@@ -38,26 +38,26 @@
             text=True,
             env={**os.environ, **environ},
         )
-        self.out = _lines(self.popen.stdout)
-        self.err = _lines(self.popen.stderr)
+        self.stdout_lines = _read_lines(self.popen.stdout)
+        self.stderr_lines = _read_lines(self.popen.stderr)
 
-    def kill(self, how: signal.Signals = signal.SIGKILL) -> None:
+    def kill(self, signum: signal.Signals = signal.SIGKILL) -> None:
         """Send a signal to just this process."""
         if self.popen.poll() is None:
-            self.popen.send_signal(how)
+            self.popen.send_signal(signum)
 
     def stop(self) -> int:
         """End it, first kindly; gives its exit status."""
         self.kill(signal.SIGCONT)
         self.kill(signal.SIGTERM)
         try:
-            return self.popen.wait(STOP_SECONDS)
+            return self.popen.wait(STOP_TIMEOUT_SECONDS)
         except subprocess.TimeoutExpired:
             self.kill()
-            return self.popen.wait(STOP_SECONDS)
+            return self.popen.wait(STOP_TIMEOUT_SECONDS)
 
 
-def _lines(stream: IO[str] | None) -> 'queue.Queue[str]':
+def _read_lines(stream: IO[str] | None) -> 'queue.Queue[str]':
     assert stream is not None
     lines: queue.Queue[str] = queue.Queue()
 
@@ -69,35 +69,38 @@
     return lines
 
 
-class Placed(NamedTuple):
+class Deployment(NamedTuple):
     """A target with the node beside it."""
 
     name: str
     node: Process
     target: Process
-    faces: dict[str, str]
-    listening: str
+    listeners: dict[str, str]
+    target_address: str
 
 
 class Fleet:
     """A platform and any number of targets with their nodes; a context manager.
 
-    With ``profiles``, a folder, each node runs under cProfile and leaves its figures there.
+    With ``profile_folder``, a folder, each node runs under cProfile and leaves its figures there.
     """
 
-    def __init__(self, profiles: str = '') -> None:
-        self.profiles = profiles
+    def __init__(self, profile_folder: str = '') -> None:
+        self.profile_folder = profile_folder
         self.processes: list[Process] = []
-        self.platform = ''
-        self.placed: dict[str, Placed] = {}
+        self.platform_address = ''
+        self.deployments: dict[str, Deployment] = {}
 
     def __enter__(self) -> 'Fleet':
         proc = self._start([sys.executable, '-m', 'standins.platform'])
-        self.platform = proc.out.get(timeout=START_SECONDS)
+        self.platform_address = proc.stdout_lines.get(timeout=START_TIMEOUT_SECONDS)
         return self
 
     def __exit__(
-        self, kind: type[BaseException] | None, exc: BaseException | None, tb: TracebackType | None
+        self,
+        kind: type[BaseException] | None,
+        exc: BaseException | None,
+        traceback: TracebackType | None,
     ) -> None:
         for proc in self.processes:
             proc.kill(signal.SIGCONT)
@@ -110,30 +113,35 @@
         environ = {
             'DUNLINSADDLE_INSTANCE': name,
             'DUNLINSADDLE_DOMAIN': domain,
-            'DUNLINSADDLE_PLATFORM': self.platform,
+            'DUNLINSADDLE_PLATFORM': self.platform_address,
             'DUNLINSADDLE_PEER_KEY': PEER_KEY,
             'DUNLINSADDLE_OPERATOR_TOKEN': OPERATOR_TOKEN,
             **{f'DUNLINSADDLE_{key.upper()}': value for key, value in settings.items()},
         }
-        profiler = ['-m', 'cProfile', '-o', f'{self.profiles}/{name}.prof']
-        argv = [sys.executable, *(profiler if self.profiles else []), '-m', 'dunlinsaddle.daemon']
+        profiler = ['-m', 'cProfile', '-o', f'{self.profile_folder}/{name}.prof']
+        argv = [
+            sys.executable,
+            *(profiler if self.profile_folder else []),
+            '-m',
+            'dunlinsaddle.daemon',
+        ]
         node = self._start(argv, environ)
-        line = node.err.get(timeout=START_SECONDS)
+        line = node.stderr_lines.get(timeout=START_TIMEOUT_SECONDS)
         return node, json.loads(line)['faces']
 
-    def place(self, name: str, spec: TargetSpec, **settings: str) -> Placed:
+    def deploy(self, name: str, spec: TargetSpec, **settings: str) -> Deployment:
         """Start a target and the node beside it."""
-        node, faces = self.start_node(name, spec.domain, **settings)
+        node, listeners = self.start_node(name, spec.domain, **settings)
         argv = [sys.executable, '-m', 'standins.target', '--name', name]
-        argv += ['--service', spec.service, '--node', faces['local']]
-        argv += ['--slots', str(spec.slots), '--seconds', str(spec.seconds)]
-        for path in spec.calls:
+        argv += ['--service', spec.service, '--node', listeners['local']]
+        argv += ['--slots', str(spec.slots), '--seconds', str(spec.service_seconds)]
+        for path in spec.downstream_paths:
             argv += ['--call', path]
-        argv += spec.options
+        argv += spec.extra_args
         target = self._start(argv)
-        listening = target.out.get(timeout=START_SECONDS)
-        self.placed[name] = Placed(name, node, target, faces, listening)
-        return self.placed[name]
+        target_address = target.stdout_lines.get(timeout=START_TIMEOUT_SECONDS)
+        self.deployments[name] = Deployment(name, node, target, listeners, target_address)
+        return self.deployments[name]
 
     def _start(self, argv: list[str], environ: dict[str, str] | None = None) -> Process:
         proc = Process(argv, environ or {})
--- a/standins/latency.py
+++ b/standins/latency.py
@@ -19,45 +19,45 @@
 from dunlinsaddle.policy.keys import generate_key
 from dunlinsaddle.settings import Address, parse_address
 from standins.caller import Caller
-from standins.demo import operate, say, wait_until_served
-from standins.fleet import Fleet, Placed, TargetSpec
+from standins.demo import print_line, run_operator_command, wait_until_served
+from standins.fleet import Deployment, Fleet, TargetSpec
 
 PATH = '/templates/oak/1'
-MOST_MICROSECONDS = 10_000_000
-DIGITS = 3
-WARM_UP = 300
+MAX_MICROSECONDS = 10_000_000
+SIGNIFICANT_DIGITS = 3
+WARM_UP_CALLS = 300
 RECORD = {'schema': 2, 'service': 'templates', 'requests': []}
 RNG = Random(7)
-TICKS = os.sysconf('SC_CLK_TCK')
+CLOCK_TICKS_PER_SECOND = os.sysconf('SC_CLK_TCK')
 
 
-class Way(NamedTuple):
+class CallPath(NamedTuple):
     """One way to the target: where calls are sent, and the nodes that they pass.
 
-    A ``keyed`` way sends calls that must run at most once, each with a key of its own.
+    A ``has_key`` way sends calls that must run at most once, each with a key of its own.
     """
 
     name: str
     address: Address
     path: str
-    nodes: tuple[Placed, ...]
-    keyed: bool = False
+    nodes: tuple[Deployment, ...]
+    has_key: bool = False
 
 
-class Measured:
-    """What one way took. ``busy`` is the processor time of the nodes that are passed."""
+class PathStats:
+    """What one way took. ``cpu_seconds`` is the processor time of the nodes that are passed."""
 
     def __init__(self) -> None:
-        self.histogram = HdrHistogram(1, MOST_MICROSECONDS, DIGITS)
-        self.busy = 0.0
-        self.calls = 0
-        self.refused = 0
+        self.histogram = HdrHistogram(1, MAX_MICROSECONDS, SIGNIFICANT_DIGITS)
+        self.cpu_seconds = 0.0
+        self.call_count = 0
+        self.refused_count = 0
 
 
-def processor_seconds(pid: int) -> float:
+def process_cpu_seconds(pid: int) -> float:
     """Give the processor time that a process has used."""
     fields = Path(f'/proc/{pid}/stat').read_text().rpartition(')')[2].split()
-    return (int(fields[11]) + int(fields[12])) / TICKS
+    return (int(fields[11]) + int(fields[12])) / CLOCK_TICKS_PER_SECOND
 
 
 def resident_megabytes(pid: int) -> float:
@@ -66,9 +66,9 @@
     return pages * os.sysconf('SC_PAGE_SIZE') / 1e6
 
 
-def used(way: Way) -> float:
+def nodes_cpu_seconds(call_path: CallPath) -> float:
     """Give the processor time that all nodes of a way have used."""
-    return sum(processor_seconds(placed.node.popen.pid) for placed in way.nodes)
+    return sum(process_cpu_seconds(deployment.node.popen.pid) for deployment in call_path.nodes)
 
 
 def new_key() -> str:
@@ -76,67 +76,72 @@
     return generate_key(int(time.time() * 1000), RNG, 'templates').text
 
 
-async def send_paced(caller: Caller, way: Way, rate: float, count: int, into: Measured) -> None:
+async def send_at_rate(
+    caller: Caller, call_path: CallPath, rate: float, count: int, stats: PathStats
+) -> None:
     """Send calls at a steady rate, whether or not earlier ones are answered."""
     loop = asyncio.get_running_loop()
     first = loop.time()
 
     async def one() -> None:
-        headers = [(b'idempotency-key', new_key().encode())] if way.keyed else []
+        headers = [(b'idempotency-key', new_key().encode())] if call_path.has_key else []
         began = time.perf_counter()
-        method = 'POST' if way.keyed else 'GET'
-        response = await caller.call(way.address, method, way.path, headers)
-        into.calls += 1
+        method = 'POST' if call_path.has_key else 'GET'
+        response = await caller.call(call_path.address, method, call_path.path, headers)
+        stats.call_count += 1
         if response is None or response.status != 200:
-            into.refused += 1
+            stats.refused_count += 1
             return
-        into.histogram.record_value(int((time.perf_counter() - began) * 1e6))
+        stats.histogram.record_value(int((time.perf_counter() - began) * 1e6))
 
     tasks = []
     for number in range(count):
-        at = first + number / rate
-        await asyncio.sleep(max(at - loop.time(), 0))
+        send_at = first + number / rate
+        await asyncio.sleep(max(send_at - loop.time(), 0))
         tasks.append(loop.create_task(one()))
     await asyncio.gather(*tasks)
 
 
-async def measure(ways: list[Way], rate: float, rounds: int, count: int) -> dict[str, Measured]:
+async def measure(
+    paths: list[CallPath], rate: float, rounds: int, count: int
+) -> dict[str, PathStats]:
     """Measure all ways in turn, ``rounds`` times ``count`` calls each."""
     caller = Caller()
-    results = {way.name: Measured() for way in ways}
-    for way in ways:
-        await send_paced(caller, way, rate, WARM_UP, Measured())
+    results = {call_path.name: PathStats() for call_path in paths}
+    for call_path in paths:
+        await send_at_rate(caller, call_path, rate, WARM_UP_CALLS, PathStats())
     for _ in range(rounds):
-        for way in ways:
-            result = results[way.name]
-            before = used(way)
-            await send_paced(caller, way, rate, count, result)
-            result.busy += used(way) - before
+        for call_path in paths:
+            result = results[call_path.name]
+            before = nodes_cpu_seconds(call_path)
+            await send_at_rate(caller, call_path, rate, count, result)
+            result.cpu_seconds += nodes_cpu_seconds(call_path) - before
     caller.close()
     return results
 
 
-def report(results: dict[str, Measured]) -> None:
+def print_report(results: dict[str, PathStats]) -> None:
     """Print one row a way, then what the nodes add."""
-    say(
+    print_line(
         f'{"way":<12}{"calls":>7}{"refused":>9}{"p50 us":>8}{"p99 us":>8}'
         f'{"core us/call":>14}{"calls/s/core":>14}'
     )
     for name, result in results.items():
-        each = result.busy / result.calls
-        rate = f'{1 / each:.0f}' if each else '-'
+        cpu_per_call = result.cpu_seconds / result.call_count
+        rate = f'{1 / cpu_per_call:.0f}' if cpu_per_call else '-'
         p50, p99 = (result.histogram.get_value_at_percentile(q) for q in (50, 99))
-        say(
-            f'{name:<12}{result.calls:>7}{result.refused:>9}{p50:>8}{p99:>8}'
-            f'{each * 1e6:>14.0f}{rate:>14}'
+        print_line(
+            f'{name:<12}{result.call_count:>7}{result.refused_count:>9}{p50:>8}{p99:>8}'
+            f'{cpu_per_call * 1e6:>14.0f}{rate:>14}'
         )
     direct = results['direct'].histogram
     for name in ('one node', 'two nodes', 'two, keyed'):
-        through = results[name].histogram
+        path_histogram = results[name].histogram
         added = [
-            through.get_value_at_percentile(q) - direct.get_value_at_percentile(q) for q in (50, 99)
+            path_histogram.get_value_at_percentile(q) - direct.get_value_at_percentile(q)
+            for q in (50, 99)
         ]
-        say(f'{name} added: p50 {added[0]} us, p99 {added[1]} us')
+        print_line(f'{name} added: p50 {added[0]} us, p99 {added[1]} us')
 
 
 def main() -> None:
@@ -148,26 +153,28 @@
     parser.add_argument('--profile', default='', help='folder for a cProfile file of each node')
     args = parser.parse_args()
     with Fleet(args.profile) as fleet, tempfile.TemporaryDirectory() as folder:
-        target = fleet.place('bangor-1', TargetSpec('templates', 'bangor-hall', 140, 0.0))
+        target = fleet.deploy('bangor-1', TargetSpec('templates', 'bangor-hall', 140, 0.0))
         # A node with a target of another service: its calls all go to the one above.
-        entry = fleet.place('menai-1', TargetSpec('slab-stock', 'menai-hall', 140, 0.0))
+        entry = fleet.deploy('menai-1', TargetSpec('slab-stock', 'menai-hall', 140, 0.0))
         record = Path(folder) / 'templates.json'
         record.write_bytes(msgspec.json.encode(RECORD))
-        operate(entry.faces['operators'], 'apply', str(record))
-        nodes = {p.name: parse_address(p.faces['callers']) for p in (target, entry)}
+        run_operator_command(entry.listeners['operators'], 'apply', str(record))
+        nodes = {p.name: parse_address(p.listeners['callers']) for p in (target, entry)}
         asyncio.run(wait_until_served(list(nodes.values()), PATH))
-        ways = [
-            Way('direct', parse_address(target.listening), '/oak/1', ()),
-            Way('one node', nodes['bangor-1'], PATH, (target,)),
-            Way('two nodes', nodes['menai-1'], PATH, (entry, target)),
-            Way('two, keyed', nodes['menai-1'], PATH, (entry, target), keyed=True),
+        paths = [
+            CallPath('direct', parse_address(target.target_address), '/oak/1', ()),
+            CallPath('one node', nodes['bangor-1'], PATH, (target,)),
+            CallPath('two nodes', nodes['menai-1'], PATH, (entry, target)),
+            CallPath('two, keyed', nodes['menai-1'], PATH, (entry, target), has_key=True),
         ]
-        say(f'{args.rate:g} calls a second, {args.rounds} rounds in turn')
+        print_line(f'{args.rate:g} calls a second, {args.rounds} rounds in turn')
         began = os.getloadavg()[0]
-        report(asyncio.run(measure(ways, args.rate, args.rounds, args.count)))
-        for name, placed in (('beside', target), ('entry', entry)):
-            say(f'node {name}: {resident_megabytes(placed.node.popen.pid):.1f} MB resident')
-        say(f'load of the machine: {began:.1f} before, {os.getloadavg()[0]:.1f} after')
+        print_report(asyncio.run(measure(paths, args.rate, args.rounds, args.count)))
+        for name, deployment in (('beside', target), ('entry', entry)):
+            print_line(
+                f'node {name}: {resident_megabytes(deployment.node.popen.pid):.1f} MB resident'
+            )
+        print_line(f'load of the machine: {began:.1f} before, {os.getloadavg()[0]:.1f} after')
 
 
 if __name__ == '__main__':
--- a/standins/mesh.py
+++ b/standins/mesh.py
@@ -16,17 +16,17 @@
 from dunlinsaddle.calls.http import HttpRequest, HttpResponse
 from dunlinsaddle.platform import headers as names
 from dunlinsaddle.settings import Address
-from standins.fleet import START_SECONDS, Process
-from standins.mesh_target import SAYS_PATH, Says
+from standins.fleet import START_TIMEOUT_SECONDS, Process
+from standins.mesh_target import STATE_PATH, AdvertisedState
 from standins.proxy import Proxy
 
 #: Each machine has an address of its own on loopback, as nodes tell their target's calls by it.
-NETWORK = '127.77.{}.{}'
-PORTS = {'outbound': 8304, 'ready': 8302, 'control': 8306}
+HOST_FORMAT = '127.77.{}.{}'
+LISTENER_PORTS = {'outbound': 8304, 'ready': 8302, 'control': 8306}
 APP_PORT, TARGET_PORT, STORE_PORT = 8301, 8401, 8309
-AGAIN_SECONDS = 0.2  #: between two tries of the operator
-INTERNAL_PORTS = [7620, 7635]
-BOUNDS = {
+RETRY_SECONDS = 0.2  #: between two tries of the operator
+INTERNAL_PORT_RANGE = [7620, 7635]
+NODE_BOUNDS = {
     'drain': '2000ms',
     'grace': '6s',
     'retryBudgetRatio': 0.2,
@@ -43,165 +43,168 @@
     host: str
     node: Process
     target: Process
-    target_way: Proxy
-    store_way: Proxy
+    target_proxy: Proxy
+    store_proxy: Proxy
 
     @property
-    def outbound(self) -> Address:
+    def outbound_address(self) -> Address:
         """Where callers on the machine send requests."""
-        return Address(self.host, PORTS['outbound'])
+        return Address(self.host, LISTENER_PORTS['outbound'])
 
 
-class TargetKind(NamedTuple):
+class ServiceSpec(NamedTuple):
     """A service of a trial."""
 
     service: str
     slots: int = 20
-    seconds: float = 0.02
-    calls: tuple[str, ...] = ()
+    service_seconds: float = 0.02
+    called_paths: tuple[str, ...] = ()
     kind: str = 'safe'
 
 
-class NotWritten(Exception):
+class UnconfirmedWriteError(Exception):
     """The store has not said that it took a configuration; it may have taken it all the same."""
 
 
 class MeshFleet:
     """Starts processes, and stops what it started; an asynchronous context manager."""
 
-    def __init__(self, run: int) -> None:
-        self.run = run  #: of those that share this host, below 250
-        self.folder = tempfile.TemporaryDirectory()
+    def __init__(self, subnet: int) -> None:
+        self.subnet = subnet  #: of those that share this host, below 250
+        self.temp_dir = tempfile.TemporaryDirectory()
         self.processes: list[Process] = []
         self.machines: dict[str, Machine] = {}
         self.client = HttpClient()
-        self.store = Address(NETWORK.format(run, 1), STORE_PORT)
+        self.store_address = Address(HOST_FORMAT.format(subnet, 1), STORE_PORT)
         self.version = 0
-        self.accepted = 0  #: the latest version that the store is known to have taken
+        self.accepted_version = 0  #: the latest version that the store is known to have taken
         self._revision = 0
-        self._environ: dict[str, dict[str, str]] = {}
-        self._argv: dict[str, list[str]] = {}
+        self._node_environ: dict[str, dict[str, str]] = {}
+        self._target_commands: dict[str, list[str]] = {}
 
     async def __aenter__(self) -> 'MeshFleet':
         store = self._start(
-            [sys.executable, '-m', 'standins.platform', '--listen', str(self.store)]
+            [sys.executable, '-m', 'standins.platform', '--listen', str(self.store_address)]
         )
-        await asyncio.to_thread(store.out.get, timeout=START_SECONDS)
+        await asyncio.to_thread(store.stdout_lines.get, timeout=START_TIMEOUT_SECONDS)
         return self
 
     async def __aexit__(
-        self, kind: type[BaseException] | None, exc: BaseException | None, tb: TracebackType | None
+        self,
+        kind: type[BaseException] | None,
+        exc: BaseException | None,
+        traceback: TracebackType | None,
     ) -> None:
         for machine in self.machines.values():
-            machine.target_way.close()
-            machine.store_way.close()
+            machine.target_proxy.close()
+            machine.store_proxy.close()
         self.client.close()
         for proc in self.processes:
             proc.kill(signal.SIGCONT)
             proc.kill(signal.SIGKILL)
         for proc in self.processes:
             await asyncio.to_thread(proc.popen.wait)
-        self.folder.cleanup()
+        self.temp_dir.cleanup()
 
-    async def place(self, name: str, domain: str, what: TargetKind) -> Machine:
+    async def start_machine(self, name: str, domain: str, spec: ServiceSpec) -> Machine:
         """Start a machine's target, node and proxies."""
-        host = NETWORK.format(self.run, 10 + len(self.machines))
-        target_way = Proxy(Address(host, TARGET_PORT))
-        await target_way.listen(Address(host, APP_PORT))
-        store_way = Proxy(self.store)
-        await store_way.listen(Address(host, STORE_PORT))
-        path = Path(self.folder.name) / f'{name}.json'
-        path.write_text(json.dumps(_node_file(name, domain, what.service, host)))
-        self._environ[name] = {'DUNLINSADDLE_NODE_FILE': str(path)}
-        self._argv[name] = _target_argv(host, what)
+        host = HOST_FORMAT.format(self.subnet, 10 + len(self.machines))
+        target_proxy = Proxy(Address(host, TARGET_PORT))
+        await target_proxy.listen(Address(host, APP_PORT))
+        store_proxy = Proxy(self.store_address)
+        await store_proxy.listen(Address(host, STORE_PORT))
+        path = Path(self.temp_dir.name) / f'{name}.json'
+        path.write_text(json.dumps(_node_file(name, domain, spec.service, host)))
+        self._node_environ[name] = {'DUNLINSADDLE_NODE_FILE': str(path)}
+        self._target_commands[name] = _target_command(host, spec)
         node, target = self.start_node(name), self.start_target(name)
-        made = Machine(name, what.service, host, node, target, target_way, store_way)
-        self.machines[name] = made
-        return made
+        machine = Machine(name, spec.service, host, node, target, target_proxy, store_proxy)
+        self.machines[name] = machine
+        return machine
 
     def start_node(self, name: str) -> Process:
         """Start a machine's node."""
         argv = [sys.executable, '-m', 'dunlinsaddle.daemon']
-        return self._start(argv, self._environ[name])
+        return self._start(argv, self._node_environ[name])
 
     def start_target(self, name: str) -> Process:
         """Start a machine's target."""
-        return self._start(self._argv[name])
+        return self._start(self._target_commands[name])
 
-    def restart(self, name: str, *, node: bool = False, target: bool = False) -> None:
+    def restart_processes(self, name: str, *, node: bool = False, target: bool = False) -> None:
         """Start what has ended at a machine once more."""
-        held = self.machines[name]
+        machine = self.machines[name]
         if node:
-            held = held._replace(node=self.start_node(name))
+            machine = machine._replace(node=self.start_node(name))
         if target:
-            held = held._replace(target=self.start_target(name))
-        self.machines[name] = held
+            machine = machine._replace(target=self.start_target(name))
+        self.machines[name] = machine
 
-    async def configure(self, kinds: list[TargetKind]) -> None:
+    async def configure(self, specs: list[ServiceSpec]) -> None:
         """Write the next configuration: a route ``/SERVICE/`` to each service.
 
         Raises NotWritten when the store gives no answer, refuses, or shows that an earlier
         write took effect whose answer was lost; that one's revision is known from then on.
         """
         self.version += 1
-        await self._write(self.version, kinds)
+        await self._write(self.version, specs)
 
-    async def write_again(self, kinds: list[TargetKind]) -> None:
+    async def rewrite_until_accepted(self, specs: list[ServiceSpec]) -> None:
         """Write what the store may have lost as it returned from a copy, until it is taken."""
         while True:
-            held = await self.ask(self.store, 'GET', '/objects/config/main')
-            self._revision = _revision_of(held)
+            response = await self.send_request(self.store_address, 'GET', '/objects/config/main')
+            self._revision = _revision_in(response)
             try:
-                return await self._write(max(self.accepted, 1), kinds)
-            except NotWritten:
-                await asyncio.sleep(AGAIN_SECONDS)
+                return await self._write(max(self.accepted_version, 1), specs)
+            except UnconfirmedWriteError:
+                await asyncio.sleep(RETRY_SECONDS)
 
-    async def _write(self, version: int, kinds: list[TargetKind]) -> None:
-        value = _configuration(version, kinds)
+    async def _write(self, version: int, specs: list[ServiceSpec]) -> None:
+        value = _configuration(version, specs)
         meta: dict[str, Any] = {'name': 'main'}
         method, path = 'POST', '/objects/config'
         if self._revision:
             meta['revision'] = self._revision
             method, path = 'PUT', '/objects/config/main'
         body = msgspec.json.encode({'metadata': meta, 'specification': value})
-        answer = await self.ask(self.store, method, path, body)
-        if answer is None or answer.status not in (200, 409):
-            raise NotWritten(answer and answer.status)
-        self._revision = _revision_of(answer)
-        if answer.status == 409:
-            raise NotWritten(409)
-        self.accepted = max(self.accepted, version)
-
-    async def ask(
+        response = await self.send_request(self.store_address, method, path, body)
+        if response is None or response.status not in (200, 409):
+            raise UnconfirmedWriteError(response and response.status)
+        self._revision = _revision_in(response)
+        if response.status == 409:
+            raise UnconfirmedWriteError(409)
+        self.accepted_version = max(self.accepted_version, version)
+
+    async def send_request(
         self, address: Address, method: str, path: str, body: bytes = b''
     ) -> HttpResponse | None:
         """Send a request past all proxies; None where no answer came."""
         exchange = await self.client.send(address, HttpRequest(method, path, [], body, ''), 3.0)
         return exchange.response if isinstance(exchange, Answered) else None
 
-    async def keep_copy(self) -> None:
+    async def save_copy(self) -> None:
         """Let the store keep a copy of what it holds now."""
-        await self.ask(self.store, 'POST', '/keep')
+        await self.send_request(self.store_address, 'POST', '/keep')
 
-    async def return_from_copy(self) -> None:
+    async def restore_copy(self) -> None:
         """Let the store lose what was written since the copy."""
-        await self.ask(self.store, 'POST', '/return')
+        await self.send_request(self.store_address, 'POST', '/return')
 
-    async def faults(self, **faults: Any) -> None:
+    async def set_store_faults(self, **faults: Any) -> None:
         """Set what goes wrong at the store."""
-        await self.ask(self.store, 'POST', '/faults', msgspec.json.encode(faults))
+        await self.send_request(self.store_address, 'POST', '/faults', msgspec.json.encode(faults))
 
-    async def say(self, name: str, says: Says) -> str:
+    async def set_advertised_state(self, name: str, state: AdvertisedState) -> str:
         """Let a machine's target say something of itself; gives its id, empty if it is away."""
         address = Address(self.machines[name].host, TARGET_PORT)
-        answer = await self.ask(address, 'POST', SAYS_PATH, msgspec.json.encode(says))
-        return str(msgspec.json.decode(answer.body)['target']) if answer else ''
+        response = await self.send_request(address, 'POST', STATE_PATH, msgspec.json.encode(state))
+        return str(msgspec.json.decode(response.body)['target']) if response else ''
 
-    async def runs(self, name: str) -> dict[str, int]:
+    async def fetch_run_counts(self, name: str) -> dict[str, int]:
         """Give how often the present target of a machine ran each request."""
         address = Address(self.machines[name].host, TARGET_PORT)
-        answer = await self.ask(address, 'GET', '/-/runs')
-        return msgspec.json.decode(answer.body, type=dict[str, int]) if answer else {}
+        response = await self.send_request(address, 'GET', '/-/runs')
+        return msgspec.json.decode(response.body, type=dict[str, int]) if response else {}
 
     def _start(self, argv: list[str], environ: dict[str, str] | None = None) -> Process:
         proc = Process(argv, environ or {})
@@ -209,29 +212,34 @@
         return proc
 
 
-def call_headers(request_id: str, seconds: float) -> list[tuple[bytes, bytes]]:
+def build_call_headers(request_id: str, timeout_seconds: float) -> list[tuple[bytes, bytes]]:
     """Give the headers of a caller's request."""
-    left = b'%d' % int(seconds * 1000)
+    remaining_ms = b'%d' % int(timeout_seconds * 1000)
     return [
         (b'host', b'h.example'),
         (names.REQUEST_ID, request_id.encode()),
-        (names.REMAINING_MILLISECONDS, left),
+        (names.REMAINING_MILLISECONDS, remaining_ms),
     ]
 
 
-def _revision_of(answer: HttpResponse | None) -> int:
+def _revision_in(response: HttpResponse | None) -> int:
     """Give the revision of an object that the store holds, 0 for none."""
-    if answer is None or answer.status not in (200, 409):
+    if response is None or response.status not in (200, 409):
         return 0
-    return int(msgspec.json.decode(answer.body)['metadata']['revision'])
+    return int(msgspec.json.decode(response.body)['metadata']['revision'])
 
 
-def _target_argv(host: str, what: TargetKind) -> list[str]:
-    argv = [sys.executable, '-m', 'standins.mesh_target', '--service', what.service]
+def _target_command(host: str, spec: ServiceSpec) -> list[str]:
+    argv = [sys.executable, '-m', 'standins.mesh_target', '--service', spec.service]
     argv += ['--listen', f'{host}:{TARGET_PORT}', '--named', f'{host}:{APP_PORT}']
-    argv += ['--control', f'{host}:{PORTS["control"]}', '--outbound', f'{host}:{PORTS["outbound"]}']
-    argv += ['--slots', str(what.slots), '--seconds', str(what.seconds)]
-    for path in what.calls:
+    argv += [
+        '--control',
+        f'{host}:{LISTENER_PORTS["control"]}',
+        '--outbound',
+        f'{host}:{LISTENER_PORTS["outbound"]}',
+    ]
+    argv += ['--slots', str(spec.slots), '--seconds', str(spec.service_seconds)]
+    for path in spec.called_paths:
         argv += ['--call', path]
     return argv
 
@@ -242,39 +250,39 @@
         'ipAddress': host,
         'zone': domain,
         'region': 'r',
-        'listen': {face: f'{host}:{port}' for face, port in PORTS.items()},
-        'internalPortRange': INTERNAL_PORTS,
-        'bounds': BOUNDS,
+        'listen': {face: f'{host}:{port}' for face, port in LISTENER_PORTS.items()},
+        'internalPortRange': INTERNAL_PORT_RANGE,
+        'bounds': NODE_BOUNDS,
         'appAddress': f'{host}:{APP_PORT}',
         'service': service,
         'platform': {'address': f'{host}:{STORE_PORT}'},
     }
 
 
-def _route(what: TargetKind, prefix: str) -> dict[str, Any]:
+def _route(spec: ServiceSpec, prefix: str) -> dict[str, Any]:
     route = {
         'host': 'h.example',
         'pathPrefix': prefix,
-        'kind': what.kind,
+        'kind': spec.kind,
         'timeout': '1500ms',
         'targetLatency': '1000ms',
-        'priority': 0 if what.kind == 'unsafe' else 2,
-        'service': what.service,
+        'priority': 0 if spec.kind == 'unsafe' else 2,
+        'service': spec.service,
         'attempts': 2,
     }
     return {'resourceKind': 'routes', 'metadata': {'name': prefix}, 'specification': route}
 
 
-def _configuration(version: int, kinds: list[TargetKind]) -> dict[str, Any]:
+def _configuration(version: int, specs: list[ServiceSpec]) -> dict[str, Any]:
     # A route for each version so far shows callers which of them are in force.
-    entries = [_route(kinds[0], f'/r{number}/') for number in range(1, version + 1) if kinds]
-    for what in kinds:
+    entries = [_route(specs[0], f'/r{number}/') for number in range(1, version + 1) if specs]
+    for spec in specs:
         service = {'healthPath': '/health', 'maxConnections': 200}
         entries += [
-            _route(what, f'/{what.service}/'),
+            _route(spec, f'/{spec.service}/'),
             {
                 'resourceKind': 'services',
-                'metadata': {'name': what.service},
+                'metadata': {'name': spec.service},
                 'specification': service,
             },
         ]
--- a/standins/mesh_target.py
+++ b/standins/mesh_target.py
@@ -17,13 +17,13 @@
 from dunlinsaddle.platform.heartbeats import INSTANCES_PATH
 from dunlinsaddle.settings import parse_address
 
-BEAT_SECONDS = 0.5  #: between heartbeats; a third of the platform's, so that trials are short
-CALL_SECONDS = 2.0
-SAYS_PATH = '/-/says'  #: takes what it is to say of itself with its answers
-WRONG_TARGET = 421
+HEARTBEAT_SECONDS = 0.5  #: between heartbeats; a third of the platform's, so that trials are short
+CALL_TIMEOUT_SECONDS = 2.0
+STATE_PATH = '/-/says'  #: takes what it is to say of itself with its answers
+MISDIRECTED_REQUEST = 421
 
 
-class Says(msgspec.Struct):
+class AdvertisedState(msgspec.Struct):
     """What a target says of itself with its answers, beside its heartbeats."""
 
     rate: float | None = None  #: requests a second
@@ -36,74 +36,76 @@
     def __init__(self, options: argparse.Namespace) -> None:
         self.options = options
         self.target_id = f'i-{uuid6.uuid7().hex[-12:]}'
-        self.born = int(time.time() * 1000)
+        self.started_at_ms = int(time.time() * 1000)
         self.sequence = 0
         self.draining = False
-        self.says = Says()
-        self.running = 0
-        self.runs: dict[str, int] = {}
+        self.state = AdvertisedState()
+        self.running_count = 0
+        self.run_counts: dict[str, int] = {}
         self.client = HttpClient()
 
     async def handle(self, req: HttpRequest) -> HttpResponse:
         """Answer one request."""
         if req.path == '/-/runs':
-            return json_response(self.runs)
-        if req.path == SAYS_PATH:
-            self.says = msgspec.json.decode(req.body, type=Says)
+            return json_response(self.run_counts)
+        if req.path == STATE_PATH:
+            self.state = msgspec.json.decode(req.body, type=AdvertisedState)
             return json_response({'target': self.target_id})
         if req.path == '/health':
-            said = [(names.TARGET_ID, self.target_id.encode())]
-            return HttpResponse(503 if self.draining else 200, said, b'')
+            headers = [(names.TARGET_ID, self.target_id.encode())]
+            return HttpResponse(503 if self.draining else 200, headers, b'')
         request_id = req.header(names.REQUEST_ID)
         print(f'got {self.target_id} {time.monotonic():.4f} {request_id}', flush=True)  # noqa: T201
         if req.header(names.EXPECTED_TARGET) != self.target_id:
-            return HttpResponse(WRONG_TARGET, [(names.TARGET_ID, self.target_id.encode())], b'')
-        if self.running >= self.options.slots:
-            return HttpResponse(503, [(names.NOT_EXECUTED, b'1'), *self._said()], b'')
-        self.running += 1
+            return HttpResponse(
+                MISDIRECTED_REQUEST, [(names.TARGET_ID, self.target_id.encode())], b''
+            )
+        if self.running_count >= self.options.slots:
+            return HttpResponse(503, [(names.NOT_EXECUTED, b'1'), *self._state_headers()], b'')
+        self.running_count += 1
         try:
             return await self._run(req)
         finally:
-            self.running -= 1
+            self.running_count -= 1
 
     async def _run(self, req: HttpRequest) -> HttpResponse:
         request_id = req.header(names.REQUEST_ID)
-        self.runs[request_id] = self.runs.get(request_id, 0) + 1
+        self.run_counts[request_id] = self.run_counts.get(request_id, 0) + 1
         # Told at once: what a target that is killed had run must not be lost with it.
         print(f'run {request_id}', flush=True)  # noqa: T201
         await asyncio.sleep(self.options.seconds)
-        served = [await self._call(path, request_id) for path in self.options.call]
-        status = 200 if all(served) else 500
-        said = [
+        succeeded = [await self._call(path, request_id) for path in self.options.call]
+        status = 200 if all(succeeded) else 500
+        headers = [
             (names.REQUEST_ID, request_id.encode()),
             (names.SERVER_SIGNATURE, self.target_id.encode()),
-            *self._said(),
+            *self._state_headers(),
         ]
         body = msgspec.json.encode({'id': request_id, 'path': req.path})
-        return HttpResponse(status, said, body)
+        return HttpResponse(status, headers, body)
 
-    def _said(self) -> list[tuple[bytes, bytes]]:
-        said = []
-        if self.says.rate is not None:
-            said.append((names.RATE_LIMIT, f'{self.says.rate:.3f}'.encode()))
-        if self.says.leaving:
-            said.append((names.SERVER_LEAVING, b'1'))
-        return said
+    def _state_headers(self) -> list[tuple[bytes, bytes]]:
+        headers = []
+        if self.state.rate is not None:
+            headers.append((names.RATE_LIMIT, f'{self.state.rate:.3f}'.encode()))
+        if self.state.leaving:
+            headers.append((names.SERVER_LEAVING, b'1'))
+        return headers
 
     async def _call(self, path: str, parent: str) -> bool:
-        pairs = [
+        headers = [
             (b'host', b'h.example'),
             (names.REQUEST_ID, f'{parent}.{uuid6.uuid7().hex[-16:]}'.encode()),
-            (names.REMAINING_MILLISECONDS, b'%d' % int(CALL_SECONDS * 1000)),
+            (names.REMAINING_MILLISECONDS, b'%d' % int(CALL_TIMEOUT_SECONDS * 1000)),
         ]
-        req = HttpRequest('GET', path, pairs, b'', '')
-        exchange = await self.client.send(self.options.outbound, req, CALL_SECONDS)
+        req = HttpRequest('GET', path, headers, b'', '')
+        exchange = await self.client.send(self.options.outbound, req, CALL_TIMEOUT_SECONDS)
         return isinstance(exchange, Answered) and exchange.response.status == 200
 
-    async def beat(self) -> bool:
+    async def send_heartbeat(self) -> bool:
         """Send one heartbeat; say whether it was acknowledged."""
         self.sequence += 1
-        said = {
+        heartbeat = {
             'service': self.options.service,
             'address': str(self.options.named),
             'zone': 'd',
@@ -112,18 +114,18 @@
             'state': 'draining' if self.draining else 'ready',
             'coldRemaining': '0ms',
             'sequence': self.sequence,
-            'born': self.born,
+            'born': self.started_at_ms,
         }
-        body = msgspec.json.encode(said)
+        body = msgspec.json.encode(heartbeat)
         req = HttpRequest('PUT', f'{INSTANCES_PATH}{self.target_id}', [], body, '')
         exchange = await self.client.send(self.options.control, req, 1.0)
         return isinstance(exchange, Answered) and exchange.response.status == 200
 
 
-async def _beat_on(target: MeshTarget) -> None:
+async def _send_heartbeats(target: MeshTarget) -> None:
     while True:
-        await target.beat()
-        await asyncio.sleep(BEAT_SECONDS)
+        await target.send_heartbeat()
+        await asyncio.sleep(HEARTBEAT_SECONDS)
 
 
 async def serve(options: argparse.Namespace) -> None:
@@ -131,17 +133,17 @@
     target = MeshTarget(options)
     stop = asyncio.Event()
     asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, stop.set)
-    face = HttpListener(target.handle, HttpLimits())
-    print(await face.listen(options.listen), flush=True)  # noqa: T201
-    beating = asyncio.create_task(_beat_on(target))
+    listener = HttpListener(target.handle, HttpLimits())
+    print(await listener.listen(options.listen), flush=True)  # noqa: T201
+    heartbeat_task = asyncio.create_task(_send_heartbeats(target))
     await stop.wait()
     target.draining = True
-    await target.beat()
+    await target.send_heartbeat()
     await asyncio.sleep(options.drain)
-    beating.cancel()
-    leave = HttpRequest('DELETE', f'{INSTANCES_PATH}{target.target_id}', [], b'', '')
-    await target.client.send(options.control, leave, 1.0)
-    face.close()
+    heartbeat_task.cancel()
+    deregistration = HttpRequest('DELETE', f'{INSTANCES_PATH}{target.target_id}', [], b'', '')
+    await target.client.send(options.control, deregistration, 1.0)
+    listener.close()
 
 
 def main() -> None:
--- a/standins/once_cost.py
+++ b/standins/once_cost.py
@@ -24,7 +24,7 @@
 NOW = 1_750_000_000_000
 
 
-def decide(texts: list[str]) -> tuple[KeyTable[Reply], float]:
+def measure_decisions(texts: list[str]) -> tuple[KeyTable[Reply], float]:
     """Take each key once, from its text to its answer; gives microseconds for one."""
     table: KeyTable[Reply] = KeyTable()
     began = time.perf_counter()
@@ -38,13 +38,13 @@
     return table, (time.perf_counter() - began) / len(texts) * 1e6
 
 
-def plan(instances: int) -> tuple[int, float]:
+def measure_planning(instances: int) -> tuple[int, float]:
     """Plan ranges that are well; gives the bytes of the map and microseconds for one plan."""
     names = [f'instance-{number}' for number in range(instances)]
     ranges = RangeMap()
     for name in names:
-        here = PlanContext(Owner(name, f'{name:0>12}'), names, NOW, {})
-        planned = plan_ranges('cut-orders', ranges, here)
+        context = PlanContext(Owner(name, f'{name:0>12}'), names, NOW, {})
+        planned = plan_ranges('cut-orders', ranges, context)
         ranges = planned.range_map if planned else ranges
     began = time.perf_counter()
     for _ in range(100):
@@ -57,14 +57,14 @@
     """Print the figures."""
     rng = Random(1)
     texts = [generate_key(NOW, rng, 'cut-orders').text for _ in range(KEYS)]
-    _, micros = decide(texts)
+    _, micros = measure_decisions(texts)
     tracemalloc.start()
-    held, _ = decide(texts)
-    memory = tracemalloc.get_traced_memory()[0] / len(held)
+    table, _ = measure_decisions(texts)
+    memory = tracemalloc.get_traced_memory()[0] / len(table)
     tracemalloc.stop()
     sys.stdout.write(f'decision: {micros:.1f} us, memory of a key: {memory:.0f} bytes\n')
     for instances in (3, 7, 20):
-        size, micros = plan(instances)
+        size, micros = measure_planning(instances)
         sys.stdout.write(f'{instances} instances: map {size} bytes, plan {micros:.0f} us\n')
 
 
--- a/standins/proxy.py
+++ b/standins/proxy.py
@@ -6,10 +6,10 @@
 
 from dunlinsaddle.settings import Address
 
-PIECE = 65536
+CHUNK_BYTES = 65536
 
 
-class Harm(Enum):
+class ProxyFault(Enum):
     """What happens to the bytes."""
 
     NONE = 'none'
@@ -22,10 +22,10 @@
 class Proxy:
     """Passes connections on to one address."""
 
-    def __init__(self, to: Address, delay: float = 0.2) -> None:
-        self.to = to
+    def __init__(self, upstream: Address, delay: float = 0.2) -> None:
+        self.upstream = upstream
         self.delay = delay
-        self.harm = Harm.NONE
+        self.fault = ProxyFault.NONE
         self._writers: set[asyncio.StreamWriter] = set()
         self._server: asyncio.Server
 
@@ -33,10 +33,10 @@
         """Start to listen."""
         self._server = await asyncio.start_server(self._accept, address.host, address.port)
 
-    def use(self, harm: Harm) -> None:
+    def set_fault(self, fault: ProxyFault) -> None:
         """Do this harm from now on."""
-        self.harm = harm
-        if harm is Harm.RESET:
+        self.fault = fault
+        if fault is ProxyFault.RESET:
             for writer in list(self._writers):
                 writer.transport.abort()
 
@@ -47,29 +47,36 @@
             writer.transport.abort()
 
     async def _accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        if self.harm is Harm.RESET:
+        if self.fault is ProxyFault.RESET:
             writer.transport.abort()
             return
         try:
-            far_reader, far_writer = await asyncio.open_connection(self.to.host, self.to.port)
+            upstream_reader, upstream_writer = await asyncio.open_connection(
+                self.upstream.host, self.upstream.port
+            )
         except OSError:
             writer.transport.abort()
             return
-        self._writers |= {writer, far_writer}
-        ways = (self._pass(reader, far_writer, False), self._pass(far_reader, writer, True))
+        self._writers |= {writer, upstream_writer}
+        relays = (
+            self._relay(reader, upstream_writer, False),
+            self._relay(upstream_reader, writer, True),
+        )
         try:
-            await asyncio.gather(*ways)
+            await asyncio.gather(*relays)
         finally:
-            self._writers -= {writer, far_writer}
+            self._writers -= {writer, upstream_writer}
 
-    async def _pass(
-        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, answers: bool
+    async def _relay(
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, is_response: bool
     ) -> None:
         with contextlib.suppress(OSError):
-            while data := await reader.read(PIECE):
-                if self.harm is Harm.DELAY:
+            while data := await reader.read(CHUNK_BYTES):
+                if self.fault is ProxyFault.DELAY:
                     await asyncio.sleep(self.delay)
-                if self.harm is Harm.SILENCE or (answers and self.harm is Harm.ONE_WAY):
+                if self.fault is ProxyFault.SILENCE or (
+                    is_response and self.fault is ProxyFault.ONE_WAY
+                ):
                     continue
                 writer.write(data)
                 await writer.drain()
--- a/standins/scale.py
+++ b/standins/scale.py
@@ -25,19 +25,19 @@
 from dunlinsaddle.membership.view import Member, MemberView, State
 from dunlinsaddle.settings import Address, parse_address
 
-KEY = 'a-key-for-trials'
-SIZES = (4, 16, 64, 128)
-PROCESSES = 32
-DOMAINS = 8
+PEER_KEY = 'a-key-for-trials'
+NODE_COUNTS = (4, 16, 64, 128)
+MAX_PROCESSES = 32
+DOMAIN_COUNT = 8
 SETTLE_SECONDS = 20.0
-REST_SECONDS = 20.0
-SPREAD_SECONDS = 30.0
+IDLE_SECONDS = 20.0
+SPREAD_TIMEOUT_SECONDS = 30.0
 POLL_SECONDS = 0.05
-FLEET = 960
-HEADER_BYTES = 28  #: of IPv4 and UDP
+FLEET_SIZE = 960
+PACKET_HEADER_BYTES = 28  #: of IPv4 and UDP
 
 
-class Report(NamedTuple):
+class ProcessReport(NamedTuple):
     """What one process has used since its start, and what its nodes hold."""
 
     agents: int
@@ -51,7 +51,7 @@
     views: dict[str, dict[str, list[Any]]]
 
 
-class Cost(NamedTuple):
+class NodeCost(NamedTuple):
     """The cost of one node at rest, and the time a change takes to reach all, in seconds."""
 
     nodes: int
@@ -65,7 +65,7 @@
     refuted: float
 
 
-class Group:
+class NodeGroup:
     """The control parts of some nodes in one process."""
 
     def __init__(self, names: list[str], seeds: list[Address]) -> None:
@@ -77,20 +77,20 @@
         """Start all; gives the addresses of their gossip faces."""
         addresses = []
         for name in self.names:
-            agent = GossipAgent(MemberView(), KEY, Random(name), self.seeds)
+            agent = GossipAgent(MemberView(), PEER_KEY, Random(name), self.seeds)
             address = await agent.listen(open_udp, Address('127.0.0.1', 0))
-            domain = f'domain-{int(name[1:]) % DOMAINS}'
+            domain = f'domain-{int(name[1:]) % DOMAIN_COUNT}'
             number = int(time.time() * 1000)
             agent.start(Member(name, number, State.ALIVE, domain, 'stock', address, address))
             self.agents[name] = agent
             addresses.append(address)
         return addresses
 
-    def report(self) -> Report:
+    def report(self) -> ProcessReport:
         """Give what this process has used."""
         used = resource.getrusage(resource.RUSAGE_SELF)
         counts = [agent.counters for agent in self.agents.values()]
-        return Report(
+        return ProcessReport(
             len(self.agents),
             time.monotonic(),
             used.ru_utime + used.ru_stime,
@@ -98,11 +98,11 @@
             sum(c.sent_bytes for c in counts),
             sum(c.received for c in counts),
             sum(c.received_bytes for c in counts),
-            _resident(),
-            {name: _held(agent) for name, agent in self.agents.items()},
+            _resident_bytes(),
+            {name: _encode_view(agent) for name, agent in self.agents.items()},
         )
 
-    def obey(self, command: str, name: str) -> None:
+    def apply_command(self, command: str, name: str) -> None:
         """Change what one node says of itself."""
         agent = self.agents[name]
         me = agent.gossip.me
@@ -113,35 +113,35 @@
                 agent.announce(me._replace(state=State.DRAINING))
 
 
-def _held(agent: GossipAgent) -> dict[str, list[Any]]:
+def _encode_view(agent: GossipAgent) -> dict[str, list[Any]]:
     members = agent.gossip.view.members()
     return {m.instance: [m.incarnation, int(m.state), m.service] for m in members}
 
 
-def _resident() -> int:
+def _resident_bytes() -> int:
     pages = int(Path('/proc/self/statm').read_text().split()[1])
     return pages * os.sysconf('SC_PAGE_SIZE')
 
 
 async def serve(names: list[str], seeds: list[Address]) -> None:
     """Run some nodes, and answer the parent's lines until there are no more."""
-    group = Group(names, seeds)
+    group = NodeGroup(names, seeds)
     addresses = await group.start()
     tasks = [asyncio.create_task(agent.run()) for agent in group.agents.values()]
-    _tell(','.join(map(str, addresses)))
+    _print_line(','.join(map(str, addresses)))
     loop = asyncio.get_running_loop()
     reader = asyncio.StreamReader()
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
     while line := (await reader.readline()).decode().split():
         if line[0] == 'report':
-            _tell(msgspec.json.encode(group.report()).decode())
+            _print_line(msgspec.json.encode(group.report()).decode())
         else:
-            group.obey(line[0], line[1])
+            group.apply_command(line[0], line[1])
     for task in tasks:
         task.cancel()
 
 
-def _tell(text: str) -> None:
+def _print_line(text: str) -> None:
     sys.stdout.write(f'{text}\n')
     sys.stdout.flush()
 
@@ -170,10 +170,10 @@
         self.popen.stdin.write(f'{line}\n')
         self.popen.stdin.flush()
 
-    def report(self) -> Report:
+    def report(self) -> ProcessReport:
         """Ask what the process has used."""
         self.write('report')
-        return msgspec.json.decode(self.read(), type=Report)
+        return msgspec.json.decode(self.read(), type=ProcessReport)
 
     def stop(self) -> None:
         """End the process."""
@@ -194,9 +194,11 @@
         """Start all processes; the first node is everyone's seed."""
         names = [f'n{i}' for i in range(self.nodes)]
         # The first four stay alone: one is announced anew, one drained, one killed, one frozen.
-        alone, rest = names[:4], names[4:]
-        groups = [[name] for name in alone]
-        groups += [rest[i :: PROCESSES - 4] for i in range(min(len(rest), PROCESSES - 4))]
+        single, shared = names[:4], names[4:]
+        groups = [[name] for name in single]
+        groups += [
+            shared[i :: MAX_PROCESSES - 4] for i in range(min(len(shared), MAX_PROCESSES - 4))
+        ]
         seeds: list[str] = []
         for group in groups:
             worker = Worker(group, seeds)
@@ -209,104 +211,112 @@
         for worker in self.workers:
             worker.stop()
 
-    def reports(self, but: int = -1) -> list[Report]:
+    def reports(self, excluded: int = -1) -> list[ProcessReport]:
         """Ask all, or all but one."""
-        return [w.report() for i, w in enumerate(self.workers) if i != but]
+        return [w.report() for i, w in enumerate(self.workers) if i != excluded]
 
-    def spread(self, name: str, heard: Callable[[list[Any]], bool], but: int = -1) -> float:
+    def measure_spread(
+        self, name: str, matches: Callable[[list[Any]], bool], excluded: int = -1
+    ) -> float:
         """Give the time until all nodes hold of one what is looked for."""
         began = time.monotonic()
-        while time.monotonic() - began < SPREAD_SECONDS:
-            views = [v for r in self.reports(but) for n, v in r.views.items() if n != name]
-            if all(name in view and heard(view[name]) for view in views):
+        while time.monotonic() - began < SPREAD_TIMEOUT_SECONDS:
+            views = [v for r in self.reports(excluded) for n, v in r.views.items() if n != name]
+            if all(name in view and matches(view[name]) for view in views):
                 return time.monotonic() - began
             time.sleep(POLL_SECONDS)
-        raise SystemExit(f'{name}: not heard by all within {SPREAD_SECONDS} s')
+        raise SystemExit(f'{name}: not heard by all within {SPREAD_TIMEOUT_SECONDS} s')
 
-    def rest(self) -> tuple[float, float, float, float]:
+    def measure_idle(self) -> tuple[float, float, float, float]:
         """Give bytes sent and received a second, processor share and memory of one node."""
         before = self.reports()
-        time.sleep(REST_SECONDS)
+        time.sleep(IDLE_SECONDS)
         after = self.reports()
         pairs = list(zip(before, after, strict=True))
         seconds = sum((b.seconds - a.seconds) * a.agents for a, b in pairs)
-        sent = sum(b.sent_bytes - a.sent_bytes + HEADER_BYTES * (b.sent - a.sent) for a, b in pairs)
+        sent = sum(
+            b.sent_bytes - a.sent_bytes + PACKET_HEADER_BYTES * (b.sent - a.sent) for a, b in pairs
+        )
         received = sum(
-            b.received_bytes - a.received_bytes + HEADER_BYTES * (b.received - a.received)
+            b.received_bytes - a.received_bytes + PACKET_HEADER_BYTES * (b.received - a.received)
             for a, b in pairs
         )
         cpu = sum(b.cpu - a.cpu for a, b in pairs)
-        alone = [r.resident for r in after if r.agents == 1]
-        return sent / seconds, received / seconds, cpu / seconds, sum(alone) / len(alone)
+        single = [r.resident for r in after if r.agents == 1]
+        return sent / seconds, received / seconds, cpu / seconds, sum(single) / len(single)
 
-    def measure(self) -> Cost:
+    def measure(self) -> NodeCost:
         """Measure the fleet at rest, then each kind of change."""
         for name in (f'n{i}' for i in range(self.nodes)):
-            self.spread(name, lambda held: held[1] == State.ALIVE)
+            self.measure_spread(name, lambda entry: entry[1] == State.ALIVE)
         time.sleep(SETTLE_SECONDS)
-        at_rest = self.rest()
+        idle = self.measure_idle()
         self.workers[0].write('announce n0')
-        announced = self.spread('n0', lambda held: held[2] == 'changed')
+        announced = self.measure_spread('n0', lambda entry: entry[2] == 'changed')
         self.workers[1].write('drain n1')
-        drained = self.spread('n1', lambda held: held[1] == State.DRAINING)
+        drained = self.measure_spread('n1', lambda entry: entry[1] == State.DRAINING)
         refuted = self._freeze()
         self.workers[2].popen.kill()
         self.workers[2].popen.wait()
-        died = self.spread('n2', lambda held: held[1] in (State.SUSPECT, State.DEAD), but=2)
-        return Cost(self.nodes, *at_rest, announced, drained, died, refuted)
+        died = self.measure_spread(
+            'n2', lambda entry: entry[1] in (State.SUSPECT, State.DEAD), excluded=2
+        )
+        return NodeCost(self.nodes, *idle, announced, drained, died, refuted)
 
     def _freeze(self) -> float:
         """Freeze a node until all suspect it; gives the time until none does any more."""
         proc = self.workers[3].popen
         proc.send_signal(signal.SIGSTOP)
-        self.spread('n3', lambda held: held[1] != State.ALIVE, but=3)
+        self.measure_spread('n3', lambda entry: entry[1] != State.ALIVE, excluded=3)
         proc.send_signal(signal.SIGCONT)
-        return self.spread('n3', lambda held: held[1] == State.ALIVE)
+        return self.measure_spread('n3', lambda entry: entry[1] == State.ALIVE)
 
 
-class Line(NamedTuple):
+class LinearFit(NamedTuple):
     """A straight line through measured points, by least squares."""
 
     start: float
     slope: float
 
-    def at(self, x: float) -> float:
+    def value_at(self, x: float) -> float:
         """Give the line's value."""
         return self.start + self.slope * x
 
 
-def fit(points: list[tuple[float, float]]) -> Line:
+def fit(points: list[tuple[float, float]]) -> LinearFit:
     """Fit a line.
 
     >>> fit([(0, 1), (1, 3), (2, 5)])
-    Line(start=1.0, slope=2.0)
+    LinearFit(start=1.0, slope=2.0)
     """
     mean_x = sum(x for x, _ in points) / len(points)
     mean_y = sum(y for _, y in points) / len(points)
-    spread = sum((x - mean_x) ** 2 for x, _ in points)
-    slope = sum((x - mean_x) * (y - mean_y) for x, y in points) / spread
-    return Line(mean_y - slope * mean_x, slope)
+    variance_sum = sum((x - mean_x) ** 2 for x, _ in points)
+    slope = sum((x - mean_x) * (y - mean_y) for x, y in points) / variance_sum
+    return LinearFit(mean_y - slope * mean_x, slope)
 
 
-def show(costs: list[Cost]) -> None:
+def print_costs(costs: list[NodeCost]) -> None:
     """Print the table and the lines for the target's size."""
-    _tell('nodes  sent B/s  recv B/s  cpu %  MB     announced  drained  killed  refuted')
+    _print_line('nodes  sent B/s  recv B/s  cpu %  MB     announced  drained  killed  refuted')
     for c in costs:
         figures = f'{c.nodes:>5}{c.sent:>10.0f}{c.received:>10.0f}{100 * c.cpu:>7.3f}'
         times = f'{c.announced:>10.2f}{c.drained:>9.2f}{c.died:>8.2f}{c.refuted:>9.2f}'
-        _tell(f'{figures}{c.resident / 1e6:>7.1f}{times}')
+        _print_line(f'{figures}{c.resident / 1e6:>7.1f}{times}')
     if len(costs) < 2:
         return
     for field, scale, unit in (('sent', 1, 'B/s'), ('cpu', 100, '%'), ('resident', 1e-6, 'MB')):
         line = fit([(c.nodes, getattr(c, field) * scale) for c in costs])
-        at = line.at(FLEET)
-        _tell(f'{field}: {line.start:.4g} + {line.slope:.4g} a node, at {FLEET}: {at:.4g} {unit}')
+        at = line.value_at(FLEET_SIZE)
+        _print_line(
+            f'{field}: {line.start:.4g} + {line.slope:.4g} a node, at {FLEET_SIZE}: {at:.4g} {unit}'
+        )
 
 
 def main() -> None:
     """Measure all sizes, or serve some nodes as a child."""
     parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument('--sizes', default=','.join(map(str, SIZES)))
+    parser.add_argument('--sizes', default=','.join(map(str, NODE_COUNTS)))
     parser.add_argument('--nodes', help='serve these nodes')
     parser.add_argument('--seeds', default='')
     args = parser.parse_args()
@@ -322,7 +332,7 @@
             costs.append(trial.measure())
         finally:
             trial.stop()
-    show(costs)
+    print_costs(costs)
 
 
 if __name__ == '__main__':
--- a/standins/stages.py
+++ b/standins/stages.py
@@ -29,31 +29,31 @@
 from dunlinsaddle.records.models import ServiceRecord, VersionedRecord
 from dunlinsaddle.settings import Address, read_settings
 from standins.caller import Caller
-from standins.demo import say
+from standins.demo import print_line
 from standins.target import Target
 
-TURNS = 12
-LOOPS = 300
-CALL_TURNS = 200
-CALLS = 8
+ROUNDS = 12
+RUNS_PER_ROUND = 300
+CALL_ROUNDS = 200
+CALLS_PER_ROUND = 8
 LOOPBACK = Address('127.0.0.1', 0)
 HEADERS = [(b'host', b'127.0.0.1:8080'), (b'content-length', b'0'), (b'accept', b'*/*')]
-LINES = b''.join(b'%s: %s\r\n' % header for header in HEADERS)
-REQUEST = b'GET /templates/oak/1 HTTP/1.1\r\n' + LINES + b'\r\n'
-ANSWER = b'HTTP/1.1 200 \r\ncontent-type: text/plain\r\ncontent-length: 40\r\n\r\n' + b'x' * 40
+HEADER_LINES = b''.join(b'%s: %s\r\n' % header for header in HEADERS)
+REQUEST = b'GET /templates/oak/1 HTTP/1.1\r\n' + HEADER_LINES + b'\r\n'
+RESPONSE = b'HTTP/1.1 200 \r\ncontent-type: text/plain\r\ncontent-length: 40\r\n\r\n' + b'x' * 40
 
 Stage = Callable[[], object]
 
 
-def cost(stage: Stage) -> float:
+def measure_stage(stage: Stage) -> float:
     """Give the processor time of one run in microseconds, the least of all turns."""
     best = float('inf')
-    for _ in range(TURNS):
+    for _ in range(ROUNDS):
         began = time.process_time()
-        for _ in range(LOOPS):
+        for _ in range(RUNS_PER_ROUND):
             stage()
         best = min(best, time.process_time() - began)
-    return best / LOOPS * 1e6
+    return best / RUNS_PER_ROUND * 1e6
 
 
 def message_events(head: h11.Request | h11.Response, body: bytes) -> list[h11.Event]:
@@ -76,15 +76,15 @@
             server.send(event)
         server.start_next_cycle()
 
-    def ask() -> None:
+    def send() -> None:
         for event in message_events(h11.Request(method='GET', target='/', headers=HEADERS), b''):
             client.send(event)
-        client.receive_data(ANSWER)
+        client.receive_data(RESPONSE)
         while not isinstance(client.next_event(), h11.EndOfMessage):
             pass
         client.start_next_cycle()
 
-    return {'parse, write: h11 as server': serve, 'write, parse: h11 as client': ask}
+    return {'parse, write: h11 as server': serve, 'write, parse: h11 as client': send}
 
 
 def link_stages() -> dict[str, Stage]:
@@ -139,12 +139,12 @@
 def loop_stages(loop: asyncio.AbstractEventLoop) -> dict[str, Stage]:
     """Call the system and the loop as each message does."""
     listener = socket.create_server(('127.0.0.1', 0))
-    near = socket.create_connection(listener.getsockname())
-    far, _ = listener.accept()
+    client_socket = socket.create_connection(listener.getsockname())
+    server_socket, _ = listener.accept()
 
     def exchange() -> None:
-        near.send(ANSWER)
-        far.recv(65536)
+        client_socket.send(RESPONSE)
+        server_socket.recv(65536)
 
     return {
         'system: one send and recv over TCP': exchange,
@@ -172,44 +172,44 @@
     return node
 
 
-async def spend(caller: Caller, address: Address, path: str) -> float:
+async def measure_calls(caller: Caller, address: Address, path: str) -> float:
     """Give the processor time of one call in microseconds, in one turn."""
     began = time.process_time()
-    for _ in range(CALLS):
+    for _ in range(CALLS_PER_ROUND):
         response = await caller.call(address, 'GET', path)
         assert response is not None and response.status == 200, response
-    return (time.process_time() - began) / CALLS * 1e6
+    return (time.process_time() - began) / CALLS_PER_ROUND * 1e6
 
 
-async def whole_calls(profiler: cProfile.Profile | None) -> dict[str, float]:
+async def measure_whole_calls(profiler: cProfile.Profile | None) -> dict[str, float]:
     """Send calls one after another straight to a target, through one node, through two."""
-    beside, entry = build_node('bangor-1'), build_node('menai-1')
-    await beside.start()
-    await entry.start()
-    target = Target('bangor-1', 'templates', beside.addresses.local, 140, 0.0, [])
-    face = HttpListener(target.handle, HttpLimits())
-    address = await face.listen(LOOPBACK)
-    announcing = asyncio.create_task(target.announce(address))
+    target_node, ingress_node = build_node('bangor-1'), build_node('menai-1')
+    await target_node.start()
+    await ingress_node.start()
+    target = Target('bangor-1', 'templates', target_node.addresses.local, 140, 0.0, [])
+    target_listener = HttpListener(target.handle, HttpLimits())
+    address = await target_listener.listen(LOOPBACK)
+    announce_task = asyncio.create_task(target.announce(address))
     await asyncio.sleep(0.5)
-    entry.view.merge(beside.local_member())
+    ingress_node.view.merge(target_node.local_member())
     caller = Caller()
-    ways = {
+    paths = {
         'direct': (address, '/oak/1'),
-        'one node': (beside.addresses.callers, '/templates/oak/1'),
-        'two nodes': (entry.addresses.callers, '/templates/oak/1'),
+        'one node': (target_node.addresses.callers, '/templates/oak/1'),
+        'two nodes': (ingress_node.addresses.callers, '/templates/oak/1'),
     }
-    best = dict.fromkeys(ways, float('inf'))
+    best = dict.fromkeys(paths, float('inf'))
     if profiler is not None:
         profiler.enable()
-    for _ in range(CALL_TURNS):
-        for name, way in ways.items():
-            best[name] = min(best[name], await spend(caller, *way))
+    for _ in range(CALL_ROUNDS):
+        for name, address_and_path in paths.items():
+            best[name] = min(best[name], await measure_calls(caller, *address_and_path))
     if profiler is not None:
         profiler.disable()
-    announcing.cancel()
+    announce_task.cancel()
     caller.close()
-    face.close()
-    for node in (entry, beside):
+    target_listener.close()
+    for node in (ingress_node, target_node):
         await node.stop()
     return {f'{name}, added': best[name] - best['direct'] for name in ('one node', 'two nodes')}
 
@@ -223,14 +223,16 @@
         loop = runner.get_loop()
         stages = {**h11_stages(), **link_stages(), **policy_stages(), **loop_stages(loop)}
         for name, stage in stages.items():
-            say(f'{name:<46}{cost(stage):>8.1f} us')
-        for name, micros in runner.run(whole_calls(None)).items():
-            say(f'{name:<46}{micros:>8.1f} us')
+            print_line(f'{name:<46}{measure_stage(stage):>8.1f} us')
+        for name, micros in runner.run(measure_whole_calls(None)).items():
+            print_line(f'{name:<46}{micros:>8.1f} us')
         profiler = cProfile.Profile()
-        runner.run(whole_calls(profiler))
+        runner.run(measure_whole_calls(profiler))
         # Unlike any time, the same on a busy machine.
-        made = sum(entry.callcount for entry in profiler.getstats()) / (CALL_TURNS * CALLS)
-        say(f'{"function calls, a call each of the three ways":<46}{made:>8.1f}')
+        function_calls = sum(entry.callcount for entry in profiler.getstats()) / (
+            CALL_ROUNDS * CALLS_PER_ROUND
+        )
+        print_line(f'{"function calls, a call each of the three ways":<46}{function_calls:>8.1f}')
         if args.profile:
             profiler.dump_stats(args.profile)
 
--- a/standins/target.py
+++ b/standins/target.py
@@ -14,8 +14,8 @@
 from dunlinsaddle.calls.listener import HttpListener
 from dunlinsaddle.settings import Address, parse_address
 
-ANNOUNCE_EVERY = 2.0
-CALL_TIMEOUT = 10.0
+ANNOUNCE_SECONDS = 2.0
+CALL_TIMEOUT_SECONDS = 10.0
 
 
 class Target:
@@ -28,7 +28,7 @@
         node: Address,
         slots: int,
         seconds: float,
-        calls: list[str],
+        downstream_paths: list[str],
         *,
         frees_slots: bool = False,
         retries: int = 0,
@@ -38,33 +38,33 @@
         self.node = node
         self.slots = asyncio.Semaphore(slots)
         self.seconds = seconds
-        self.calls = calls
+        self.downstream_paths = downstream_paths
         self.frees_slots = frees_slots  #: a slot is held only for the target's own work
         self.retries = retries  #: of each failed call down, as a target without nodes would do
         self.client = HttpClient()
-        self.begun = 0
-        self.runs: dict[str, int] = {}
+        self.started_count = 0
+        self.run_counts: dict[str, int] = {}
 
     async def handle(self, req: HttpRequest) -> HttpResponse:
         """Answer one call."""
         if req.path == '/-/runs':
-            return json_response(self.runs)
+            return json_response(self.run_counts)
         if req.path == '/-/begun':
-            return json_response(self.begun)
+            return json_response(self.started_count)
         key = req.header(b'idempotency-key')
         if key:
-            self.runs[key] = self.runs.get(key, 0) + 1
+            self.run_counts[key] = self.run_counts.get(key, 0) + 1
         async with self.slots:
-            self.begun += 1
+            self.started_count += 1
             await asyncio.sleep(self.seconds)
-            below = [] if self.frees_slots else await self._call_all(req)
+            statuses = [] if self.frees_slots else await self._call_all(req)
         if self.frees_slots:
-            below = await self._call_all(req)
-        status = 200 if all(status == 200 for status in below) else 502
-        return json_response({'target': self.name, 'path': req.path, 'below': below}, status)
+            statuses = await self._call_all(req)
+        status = 200 if all(status == 200 for status in statuses) else 502
+        return json_response({'target': self.name, 'path': req.path, 'below': statuses}, status)
 
     async def _call_all(self, req: HttpRequest) -> list[int]:
-        return [await self._call(path, req) for path in self.calls]
+        return [await self._call(path, req) for path in self.downstream_paths]
 
     async def _call(self, path: str, req: HttpRequest) -> int:
         for _ in range(self.retries):
@@ -75,8 +75,8 @@
 
     async def _call_once(self, path: str, req: HttpRequest) -> int:
         headers = [(b'dunlinsaddle-call', req.header(b'dunlinsaddle-call').encode())]
-        down = HttpRequest('GET', path, headers, b'', '')
-        exchange = await self.client.send(self.node, down, CALL_TIMEOUT)
+        request = HttpRequest('GET', path, headers, b'', '')
+        exchange = await self.client.send(self.node, request, CALL_TIMEOUT_SECONDS)
         return exchange.response.status if isinstance(exchange, Answered) else 0
 
     async def announce(self, address: Address) -> None:
@@ -84,23 +84,23 @@
         body = msgspec.json.encode({'service': self.service, 'address': str(address)})
         while True:
             req = HttpRequest('POST', '/-/announce', [], body, '')
-            await self.client.send(self.node, req, CALL_TIMEOUT)
-            await asyncio.sleep(ANNOUNCE_EVERY)
+            await self.client.send(self.node, req, CALL_TIMEOUT_SECONDS)
+            await asyncio.sleep(ANNOUNCE_SECONDS)
 
 
 async def serve(target: Target, address: Address) -> None:
     """Serve until SIGTERM; prints the address first."""
-    face = HttpListener(target.handle, HttpLimits(max_connections=100_000))
-    listening = await face.listen(address)
-    print(listening, flush=True)  # noqa: T201
-    announcing = asyncio.create_task(target.announce(listening))
+    listener = HttpListener(target.handle, HttpLimits(max_connections=100_000))
+    bound_address = await listener.listen(address)
+    print(bound_address, flush=True)  # noqa: T201
+    announce_task = asyncio.create_task(target.announce(bound_address))
     stop = asyncio.Event()
     asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, stop.set)
     await stop.wait()
-    announcing.cancel()
+    announce_task.cancel()
     with contextlib.suppress(asyncio.CancelledError):
-        await announcing
-    face.close()
+        await announce_task
+    listener.close()
 
 
 def main() -> None:
--- a/standins/ways.py
+++ b/standins/ways.py
@@ -23,14 +23,14 @@
 from dunlinsaddle.calls.peer_server import PeerServer
 from dunlinsaddle.errors import Outcome
 from dunlinsaddle.settings import Address, parse_address
-from standins.demo import say
-from standins.fleet import PEER_KEY, START_SECONDS, Process
-from standins.latency import DIGITS, MOST_MICROSECONDS, processor_seconds
+from standins.demo import print_line
+from standins.fleet import PEER_KEY, START_TIMEOUT_SECONDS, Process
+from standins.latency import MAX_MICROSECONDS, SIGNIFICANT_DIGITS, process_cpu_seconds
 
 BODY = b'x' * 400
-ANY = Address('127.0.0.1', 0)
-RATE = 300.0
-WARM_UP = 100
+ANY_PORT = Address('127.0.0.1', 0)
+CALLS_PER_SECOND = 300.0
+WARM_UP_CALLS = 100
 
 Send = Callable[[], Awaitable[object]]
 
@@ -49,30 +49,30 @@
 
 
 def _free_address() -> Address:
-    with socket.create_server(ANY) as sock:
+    with socket.create_server(ANY_PORT) as sock:
         return Address(*sock.getsockname())
 
 
-async def listen(way: str) -> None:
+async def serve(transport: str) -> None:
     """Listen until SIGTERM; prints the address first."""
     stop = asyncio.Event()
     asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, stop.set)
-    match way:
+    match transport:
         case 'h11':
-            address = await HttpListener(_echo_http, HttpLimits()).listen(ANY)
+            address = await HttpListener(_echo_http, HttpLimits()).listen(ANY_PORT)
         case 'frames':
-            address = await PeerServer(PEER_KEY, _echo_call, LinkLimits()).listen(ANY)
+            address = await PeerServer(PEER_KEY, _echo_call, LinkLimits()).listen(ANY_PORT)
         case _:
             address = _free_address()
             echoing = asyncio.create_task(_echo_pynng(pynng.Rep0(listen=f'tcp://{address}')))
             echoing.add_done_callback(lambda _: stop.set())
-    say(str(address))
+    print_line(str(address))
     await stop.wait()
 
 
-def sender(way: str, address: Address) -> Send:
+def build_sender(transport: str, address: Address) -> Send:
     """Give what sends one call and waits for its reply."""
-    match way:
+    match transport:
         case 'h11':
             client = HttpClient()
             req = HttpRequest('POST', '/x', [], BODY, '')
@@ -91,16 +91,16 @@
             return send
 
 
-async def measure(way: str, address: Address, count: int) -> HdrHistogram:
+async def measure(transport: str, address: Address, count: int) -> HdrHistogram:
     """Send calls at a steady rate, one after another."""
-    send = sender(way, address)
-    histogram = HdrHistogram(1, MOST_MICROSECONDS, DIGITS)
-    for number in range(count + WARM_UP):
-        began = time.perf_counter()
+    send = build_sender(transport, address)
+    histogram = HdrHistogram(1, MAX_MICROSECONDS, SIGNIFICANT_DIGITS)
+    for number in range(count + WARM_UP_CALLS):
+        started_at = time.perf_counter()
         await send()
-        if number >= WARM_UP:
-            histogram.record_value(int((time.perf_counter() - began) * 1e6))
-        await asyncio.sleep(1 / RATE)
+        if number >= WARM_UP_CALLS:
+            histogram.record_value(int((time.perf_counter() - started_at) * 1e6))
+        await asyncio.sleep(1 / CALLS_PER_SECOND)
     return histogram
 
 
@@ -111,18 +111,18 @@
     parser.add_argument('--count', default=1000, type=int)
     args = parser.parse_args()
     if args.listen:
-        asyncio.run(listen(args.listen))
+        asyncio.run(serve(args.listen))
         return
-    say(f'{"way":<8}{"p50 us":>8}{"p99 us":>8}{"core us/call":>14}')
-    for way in ('h11', 'frames', 'pynng') * 2:
-        proc = Process([sys.executable, '-m', 'standins.ways', '--listen', way], {})
-        address = parse_address(proc.out.get(timeout=START_SECONDS))
-        before = processor_seconds(proc.popen.pid)
-        histogram = asyncio.run(measure(way, address, args.count))
-        busy = (processor_seconds(proc.popen.pid) - before) / (args.count + WARM_UP)
+    print_line(f'{"way":<8}{"p50 us":>8}{"p99 us":>8}{"core us/call":>14}')
+    for transport in ('h11', 'frames', 'pynng') * 2:
+        proc = Process([sys.executable, '-m', 'standins.ways', '--listen', transport], {})
+        address = parse_address(proc.stdout_lines.get(timeout=START_TIMEOUT_SECONDS))
+        before = process_cpu_seconds(proc.popen.pid)
+        histogram = asyncio.run(measure(transport, address, args.count))
+        cpu_seconds = (process_cpu_seconds(proc.popen.pid) - before) / (args.count + WARM_UP_CALLS)
         proc.stop()
         p50, p99 = (histogram.get_value_at_percentile(q) for q in (50, 99))
-        say(f'{way:<8}{p50:>8}{p99:>8}{busy * 1e6:>14.0f}')
+        print_line(f'{transport:<8}{p50:>8}{p99:>8}{cpu_seconds * 1e6:>14.0f}')
 
 
 if __name__ == '__main__':
--- a/tests/fakes/mesh_load.py
+++ b/tests/fakes/mesh_load.py
@@ -7,7 +7,7 @@
 from typing import Any, NamedTuple
 
 from dunlinsaddle.calls.http import HttpResponse
-from standins.soak_says import most_in_window
+from standins.soak_says import max_arrivals_in_window
 from tests.builders import build_configuration, build_route
 from tests.fakes.mesh import Mesh, MeshTarget
 
@@ -117,4 +117,4 @@
             for a in target.arrivals
             if a.arrived_at >= first_response_at.get(a.origin, float('inf')) + NOTICE_SECONDS
         ]
-        return most_in_window(arrival_times, announced_at)
+        return max_arrivals_in_window(arrival_times, announced_at)
--- a/tests/fleet_case.py
+++ b/tests/fleet_case.py
@@ -13,8 +13,8 @@
 from dunlinsaddle.calls.http import HttpResponse
 from dunlinsaddle.settings import parse_address
 from standins.caller import Caller
-from standins.demo import operate
-from standins.fleet import Fleet, Placed, TargetSpec
+from standins.demo import run_operator_command
+from standins.fleet import Deployment, Fleet, TargetSpec
 from tests.builders import build_document
 
 DOMAINS = {'bangor-1': 'bangor-hall', 'caernarfon-1': 'caernarfon-hall', 'menai-1': 'menai-hall'}
@@ -33,12 +33,14 @@
     def place_everywhere(self, slots: int, seconds: float) -> None:
         """Start a target of cut-orders in each of three failure domains."""
         for name, domain in DOMAINS.items():
-            self.fleet.place(name, TargetSpec('cut-orders', domain, slots, seconds))
+            self.fleet.deploy(name, TargetSpec('cut-orders', domain, slots, seconds))
 
     def operate(self, name: str, *argv: str) -> Any:
         """Run the command line against one node; gives the JSON it wrote."""
         return msgspec.json.decode(
-            operate(self.fleet.placed[name].faces['operators'], *argv, '--json')
+            run_operator_command(
+                self.fleet.deployments[name].listeners['operators'], *argv, '--json'
+            )
         )
 
     def apply(self, name: str, service: str = 'cut-orders', **changes: Any) -> int:
@@ -48,18 +50,18 @@
             path.write_bytes(msgspec.json.encode(build_document(service, **changes)))
             return self.operate(name, 'apply', str(path))[0]['version']
 
-    def call(self, placed: Placed, path: str = '/cut-orders/orders/17') -> HttpResponse | None:
+    def call(self, placed: Deployment, path: str = '/cut-orders/orders/17') -> HttpResponse | None:
         """Send one call by the caller face of a node."""
 
         async def once() -> HttpResponse | None:
             caller = Caller()
-            response = await caller.call(parse_address(placed.faces['callers']), 'GET', path)
+            response = await caller.call(parse_address(placed.listeners['callers']), 'GET', path)
             caller.close()
             return response
 
         return asyncio.run(once())
 
-    def answered(self, placed: Placed) -> bytes:
+    def answered(self, placed: Deployment) -> bytes:
         """Give the body of the first call that is answered by a target."""
         found: list[bytes] = []
 
@@ -83,5 +85,5 @@
 
     def seen(self, by: str = '', field: str = 'state') -> dict[str, str]:
         """Give a field of each target as one node sees it."""
-        rows = self.operate(by or next(iter(self.fleet.placed)), 'targets')
+        rows = self.operate(by or next(iter(self.fleet.deployments)), 'targets')
         return {row['instance']: row[field] for row in rows}
--- a/tests/test_fleet_faults.py
+++ b/tests/test_fleet_faults.py
@@ -32,7 +32,7 @@
         super().setUp()
         self.place_everywhere(50, RUN_SECONDS)
         self.apply(VICTIM)
-        for placed in self.fleet.placed.values():
+        for placed in self.fleet.deployments.values():
             self.answered(placed)
 
     def under_load(self, fault, seconds=8.0):
@@ -44,7 +44,7 @@
             end = loop.time() + seconds
 
             async def press(entry):
-                address = parse_address(self.fleet.placed[entry].faces['callers'])
+                address = parse_address(self.fleet.deployments[entry].listeners['callers'])
                 while loop.time() < end:
                     number = next(numbers)
                     path = f'/cut-orders/orders/{number}'
@@ -62,7 +62,7 @@
 
     async def runs(self):
         """Give the numbers of the calls that the victim's target has been given."""
-        address = parse_address(self.fleet.placed[VICTIM].listening)
+        address = parse_address(self.fleet.deployments[VICTIM].target_address)
         exchange = await HttpClient().send(address, HttpRequest('GET', '/-/runs', [], b'', ''), 5)
         return set(msgspec.json.decode(exchange.response.body))
 
@@ -72,7 +72,7 @@
         # callers wait for it. Each gets an answer, and only the answer to its own call.
         async def freeze():
             await asyncio.sleep(2)
-            node = self.fleet.placed[VICTIM].node
+            node = self.fleet.deployments[VICTIM].node
             node.kill(signal.SIGSTOP)
             await asyncio.sleep(5)
             node.kill(signal.SIGCONT)
@@ -90,7 +90,7 @@
         # only the callers whose entry it was lose their connections.
         async def kill():
             await asyncio.sleep(2)
-            self.fleet.placed[VICTIM].node.kill()
+            self.fleet.deployments[VICTIM].node.kill()
 
         _, ends = self.under_load(kill, 6.0)
         self.assertEqual([], [e for e in ends if not e.mine])
@@ -107,16 +107,16 @@
         # drain goes on without, and the process ends.
         async def fail():
             req = HttpRequest('POST', '/faults', [], b'{"down": true}', '')
-            await HttpClient().send(parse_address(self.fleet.platform), req, 5)
+            await HttpClient().send(parse_address(self.fleet.platform_address), req, 5)
 
         asyncio.run(fail())
         self.stop_under_load()
-        self.assertEqual(0, self.fleet.placed[VICTIM].node.popen.wait(20))
+        self.assertEqual(0, self.fleet.deployments[VICTIM].node.popen.wait(20))
 
     def stop_under_load(self):
         async def stop():
             await asyncio.sleep(2)
-            self.fleet.placed[VICTIM].node.kill(signal.SIGTERM)
+            self.fleet.deployments[VICTIM].node.kill(signal.SIGTERM)
             await asyncio.sleep(2)
             early = await self.runs()
             await asyncio.sleep(3)
--- a/tests/test_membership_processes.py
+++ b/tests/test_membership_processes.py
@@ -8,19 +8,19 @@
     def setUp(self):
         super().setUp()
         for i in range(4):
-            self.fleet.place(
+            self.fleet.deploy(
                 f'n{i}', TargetSpec('cut-orders', list(DOMAINS.values())[i % 3], 5, 0.01)
             )
         self.within(10, lambda: self.seen() == {f'n{i}': 'alive' for i in range(4)})
 
     def test_a_killed_node_is_suspected_within_three_seconds(self):
-        self.fleet.placed['n3'].node.kill()
+        self.fleet.deployments['n3'].node.kill()
         self.within(3.5, lambda: self.seen()['n3'] == 'suspect')
         self.within(8, lambda: self.seen()['n3'] == 'dead')
 
     def test_a_frozen_node_comes_back_when_it_goes_on(self):
         # The node stands still for four seconds, long enough to be suspected everywhere.
-        node = self.fleet.placed['n3'].node
+        node = self.fleet.deployments['n3'].node
         node.kill(signal.SIGSTOP)
         self.within(3.5, lambda: self.seen()['n3'] == 'suspect')
         node.kill(signal.SIGCONT)
@@ -28,13 +28,13 @@
         self.within(5, lambda: set(self.seen('n3').values()) == {'alive'})
 
     def test_a_stopped_node_leaves_at_once(self):
-        self.fleet.placed['n3'].node.kill(signal.SIGTERM)
+        self.fleet.deployments['n3'].node.kill(signal.SIGTERM)
         self.within(2, lambda: self.seen()['n3'] in ('draining', 'left'))
         self.within(2, lambda: self.seen()['n3'] == 'left')
 
     def test_the_node_withdraws_the_service_of_a_killed_target(self):
         # The node is well and says so; calls sent there would all be refused. The target's
         # announcements stop and its port refuses, so the node withdraws its service.
-        self.fleet.placed['n3'].target.kill()
+        self.fleet.deployments['n3'].target.kill()
         self.within(3.0, lambda: self.seen(field='service')['n3'] == '')
         self.assertEqual('alive', self.seen()['n3'])
--- a/tests/test_named_rate.py
+++ b/tests/test_named_rate.py
@@ -8,7 +8,7 @@
 from dunlinsaddle.mesh.target_status import TargetStatus
 from dunlinsaddle.policy.slots import SlotAdmission
 from dunlinsaddle.settings import Address
-from standins.soak_says import allowed
+from standins.soak_says import allowed_arrivals
 from tests.builders import build_logger
 from tests.clock import PausedClockTest
 from tests.fakes.mesh_load import INGRESS_NODES, TARGETS, LoadGenerator
@@ -53,7 +53,7 @@
     def test_a_target_gets_no_more_than_its_rate_and_other_targets_serve_the_rest(self):
         """Without the limit the target would get three times its rate."""
         callers, maxima, announced_at = self.run_with_rate('t', '7.5')
-        self.assertLessEqual(maxima[0], allowed(7.5))
+        self.assertLessEqual(maxima[0], allowed_arrivals(7.5))
         self.assertGreater(maxima[0], 0)
         for rank in (0, 2):
             self.assertGreaterEqual(callers.served_share(rank, announced_at), 0.99)
@@ -62,7 +62,7 @@
         """If the level of a limited target were applied, requests would be refused needlessly."""
         for names, text in (('t', '0.5'), ('tu', '7.5')):
             callers, maxima, announced_at = self.run_with_rate(names, text)
-            self.assertLessEqual(max(maxima), allowed(float(text)))
+            self.assertLessEqual(max(maxima), allowed_arrivals(float(text)))
             for rank in (0, 2):
                 self.assertGreaterEqual(callers.served_share(rank, announced_at), 0.99)
 
@@ -85,7 +85,7 @@
     def test_capacity_limited_by_rates_goes_to_the_highest_priority(self):
         """Without a queue by rank, orders would be refused in favour of views."""
         callers, maxima, announced_at = self.run_with_rate('tuv', '13')
-        self.assertLessEqual(max(maxima), allowed(13))
+        self.assertLessEqual(max(maxima), allowed_arrivals(13))
         # 30 orders and 90 views per second are sent, of which 39 may run.
         self.assertGreaterEqual(callers.served_share(0, announced_at), 0.98)
         self.assertGreaterEqual(callers.served_share(2, announced_at), 0.09)
--- a/tests/test_once_processes.py
+++ b/tests/test_once_processes.py
@@ -48,7 +48,7 @@
         return msgspec.json.decode(response.body)
 
     async def owners(self) -> list[str]:
-        stored = await self.fetch(self.fleet.platform, '/objects/ranges/cut-orders')
+        stored = await self.fetch(self.fleet.platform_address, '/objects/ranges/cut-orders')
         if not stored:
             return []
         return [
@@ -77,20 +77,20 @@
         return generate_key(int(time.time() * 1000), self.rng, 'cut-orders', wanted).text
 
     async def fetch_key(self, entry: str) -> str:
-        address = parse_address(self.fleet.placed[entry].faces['callers'])
+        address = parse_address(self.fleet.deployments[entry].listeners['callers'])
         response = await self.caller.call(address, 'POST', '/-/keys/cut-orders')
         assert response is not None
         return msgspec.json.decode(response.body)['key']
 
     async def send(self, entry: str, key: str) -> HttpResponse | None:
-        address = parse_address(self.fleet.placed[entry].faces['callers'])
+        address = parse_address(self.fleet.deployments[entry].listeners['callers'])
         headers = [(b'idempotency-key', key.encode())]
         return await self.caller.call(address, 'POST', RELEASE, headers, timeout=5.0)
 
     async def runs(self, *names: str) -> Counter[str]:
         total: Counter[str] = Counter()
         for name in names or DOMAINS:
-            total.update(await self.fetch(self.fleet.placed[name].listening, '/-/runs'))
+            total.update(await self.fetch(self.fleet.deployments[name].target_address, '/-/runs'))
         return total
 
     def outcome(self, response: HttpResponse | None) -> str:
@@ -105,7 +105,7 @@
             keys = [await self.mint('bangor-1') for _ in range(3)]
             first = [asyncio.create_task(self.send('menai-1', key)) for key in keys]
             await asyncio.sleep(RUN_SECONDS / 2)
-            self.fleet.placed['bangor-1'].node.kill()
+            self.fleet.deployments['bangor-1'].node.kill()
             outcomes = Counter([self.outcome(await task) for task in first])
             for entry in ('menai-1', 'caernarfon-1') * 2:
                 outcomes.update([self.outcome(await self.send(entry, key)) for key in keys])
@@ -122,7 +122,7 @@
             free.bind(('127.0.0.1', 0))
             peers = f'127.0.0.1:{free.getsockname()[1]}'
         spec = TargetSpec('cut-orders', 'bangor-hall', 50, RUN_SECONDS)
-        former = self.fleet.place('bangor-2', spec, peers=peers)
+        former = self.fleet.deploy('bangor-2', spec, peers=peers)
 
         async def scenario() -> None:
             former.node.kill(signal.SIGSTOP)
@@ -133,7 +133,7 @@
             former.node.kill()
             former.node.popen.wait()
             former.target.stop()
-            self.fleet.place('bangor-2', spec, peers=peers)
+            self.fleet.deploy('bangor-2', spec, peers=peers)
             await self.former_run_closed('bangor-2')
 
         self.run_scenario(scenario, {*DOMAINS, 'bangor-2'})
@@ -141,7 +141,7 @@
     async def former_run_closed(self, name: str) -> None:
         deadline = time.monotonic() + PATIENCE
         while time.monotonic() < deadline:
-            stored = await self.fetch(self.fleet.platform, '/objects/ranges/cut-orders')
+            stored = await self.fetch(self.fleet.platform_address, '/objects/ranges/cut-orders')
             rows = decode_range_map(stored['specification']).ranges
             epochs = {i.owner.epoch for row in rows for i in row if i.owner.instance == name}
             if len(epochs) == 2:
@@ -160,7 +160,7 @@
         # The owner's process stops for 2 s. The first call and a resend end as "unknown", for
         # the link went silent. Once it runs again, the owner knows how the run ended.
         async def scenario() -> None:
-            key, node = await self.mint('bangor-1'), self.fleet.placed['bangor-1'].node
+            key, node = await self.mint('bangor-1'), self.fleet.deployments['bangor-1'].node
             first = asyncio.create_task(self.send('menai-1', key))
             await asyncio.sleep(RUN_SECONDS / 2)
             node.kill(signal.SIGSTOP)
@@ -183,7 +183,7 @@
             key = await self.mint('bangor-1')
             first = asyncio.create_task(self.send('menai-1', key))
             await asyncio.sleep(RUN_SECONDS / 2)
-            self.fleet.placed['bangor-1'].node.kill(signal.SIGTERM)
+            self.fleet.deployments['bangor-1'].node.kill(signal.SIGTERM)
             self.assertEqual('done', self.outcome(await first))
             self.assertNotIn('bangor-1', await self.owners())
             keys = [await self.mint(name) for name in ('menai-1', 'caernarfon-1')]
@@ -222,24 +222,24 @@
             await asyncio.sleep(0.06)
 
     async def restart(self, name: str) -> None:
-        placed = self.fleet.placed[name]
+        placed = self.fleet.deployments[name]
         placed.node.kill(signal.SIGTERM)
         await asyncio.to_thread(placed.node.popen.wait)
-        start = partial(self.fleet.start_node, name, DOMAINS[name], **placed.faces)
+        start = partial(self.fleet.start_node, name, DOMAINS[name], **placed.listeners)
         node, faces = await asyncio.to_thread(start)
-        self.fleet.placed[name] = placed._replace(node=node, faces=faces)
+        self.fleet.deployments[name] = placed._replace(node=node, listeners=faces)
 
     def test_target_killed_while_it_runs_a_call_without_a_key(self):
         # No key came, so no resend can be told from a new call; but the system's own retries
         # must not run it twice. The answer is "unknown", although other targets are idle.
         async def scenario() -> None:
-            address = parse_address(self.fleet.placed['menai-1'].faces['callers'])
+            address = parse_address(self.fleet.deployments['menai-1'].listeners['callers'])
             calls = [self.caller.call(address, 'POST', RELEASE, timeout=5.0) for _ in range(9)]
             tasks = [asyncio.create_task(call) for call in calls]
             await asyncio.sleep(RUN_SECONDS / 2)
             ran = {name: await self.runs(name) for name in DOMAINS}
             victim = max(DOMAINS, key=lambda name: len(ran[name]))
-            self.fleet.placed[victim].target.kill()
+            self.fleet.deployments[victim].target.kill()
             outcomes = Counter([self.outcome(await task) for task in tasks])
             after = await self.runs(*(name for name in DOMAINS if name != victim))
             self.assertEqual({1}, set(ran[victim].values()) | set(after.values()))
--- a/tests/test_rated_load.py
+++ b/tests/test_rated_load.py
@@ -2,7 +2,7 @@
 
 from testtools import TestCase
 
-from standins.soak_says import allowed, most_in_window
+from standins.soak_says import allowed_arrivals, max_arrivals_in_window
 from tests.fakes.rated_load import OBJECTIVE, RatedLoad
 
 FLEETS = (14, 82, 960)  #: entries
@@ -18,7 +18,9 @@
         for target in load.targets.values():
             if target.rate is not None:
                 # All entries count as told from the start.
-                self.assertLessEqual(most_in_window(target.starts, 0.0), allowed(target.rate))
+                self.assertLessEqual(
+                    max_arrivals_in_window(target.starts, 0.0), allowed_arrivals(target.rate)
+                )
         return load
 
     def check_served(self, load):
--- a/tests/test_restored_store.py
+++ b/tests/test_restored_store.py
@@ -1,14 +1,11 @@
 """The store is restored from an older copy, so it assigns the same revisions again."""
-
 import asyncio
-
 import msgspec
-
 from dunlinsaddle.calls.http import HttpRequest
 from dunlinsaddle.platform.store import ABSENT, Conflict, StorePosition, version_to_position
 from standins.platform import Platform
 from tests.builders import build_configuration, build_document, build_record_sync, running_follower
-from tests.mesh_case import SETTLE_SECONDS, MeshTest
+from tests.mesh_case import MeshTest, SETTLE_SECONDS
 from tests.store_case import StoreClientTestCase
 
 EFFECTIVE_SECONDS = 2.0  #: within which a change must take effect
@@ -182,9 +179,9 @@
         async def scenario(platform, follower):
             await self.restore_older_copy(platform)
             await asyncio.sleep(EFFECTIVE_SECONDS)
-            before = platform.reads
+            before = platform.read_count
             await asyncio.sleep(10)
-            return platform.reads - before
+            return platform.read_count - before
 
         self.assertLess(self.run_follower(scenario), 10)
 
@@ -238,7 +235,7 @@
             await Operator(platform).configure('r18')
             platform.faults = {'delay': ANSWER_DELAY_SECONDS, 'no_history': True}
             await asyncio.sleep(10)
-            read_count = platform.reads
+            read_count = platform.read_count
             await Operator(platform).configure('r23')
             await asyncio.sleep(EFFECTIVE_SECONDS)
             return read_count, follower.version
--- a/tests/test_signals.py
+++ b/tests/test_signals.py
@@ -15,7 +15,7 @@
     def setUp(self):
         super().setUp()
         spec = TargetSpec('cut-orders', 'bangor-hall', 9, SECONDS)
-        self.placed = self.fleet.place('bangor-1', spec)
+        self.placed = self.fleet.deploy('bangor-1', spec)
         self.apply('bangor-1')
         self.answered(self.placed)
 
@@ -25,7 +25,7 @@
 
         async def scenario():
             caller = Caller()
-            address = parse_address(self.placed.faces['callers'])
+            address = parse_address(self.placed.listeners['callers'])
             call = asyncio.create_task(caller.call(address, 'GET', '/cut-orders/orders/1'))
             await asyncio.sleep(0.3)
             for number in signals:
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -6,16 +6,16 @@
 from testtools import TestCase
 
 from dunlinsaddle.calls.http import HttpResponse, json_response
-from standins.mesh import MeshFleet, NotWritten
-from standins.soak import Sent, Variant, judge, run
+from standins.mesh import MeshFleet, UnconfirmedWriteError
+from standins.soak import SentRequest, Variant, find_violations, run_seed
 from standins.soak_says import (
+    AnnouncedRate,
     Arrival,
-    Asked,
-    Disturbed,
-    PassedOn,
-    RateNamed,
-    judge_leaving,
-    judge_rates,
+    CallerRequest,
+    NodeDisruption,
+    RelayedLeaving,
+    find_leaving_violations,
+    find_rate_violations,
 )
 from tests.clock import PausedClockTest
 
@@ -33,20 +33,20 @@
         # Callers keep their connections while nodes and targets are killed, frozen, stopped
         # and started, and ways are cut. What they see, and what targets ran, is judged.
         for seed, seconds in SEEDS:
-            record = asyncio.run(run(seed, seconds))
+            record = asyncio.run(run_seed(seed, seconds))
             self.assertEqual([], record.findings, (seed, record.faults))
 
     def test_changes_are_in_force_though_the_store_returns_from_copies(self):
         """A machine that is not served by the newest route holds an old configuration."""
-        record = asyncio.run(run(RETURNS_SEED, RETURNS_SECONDS, Variant(returns=True)))
+        record = asyncio.run(run_seed(RETURNS_SEED, RETURNS_SECONDS, Variant(restores_store=True)))
         self.assertIn('return_store', record.faults)
         self.assertEqual([], record.findings, record.faults)
 
     def test_what_targets_say_with_their_answers_is_kept_to_while_processes_are_harmed(self):
         """A target that names a rate gets more, or one that leaves gets requests."""
-        record = asyncio.run(run(SAYS_SEED, SAYS_SECONDS, Variant(says=True)))
-        self.assertTrue(record.named)
-        self.assertTrue(record.passed_on)
+        record = asyncio.run(run_seed(SAYS_SEED, SAYS_SECONDS, Variant(announces_state=True)))
+        self.assertTrue(record.announced_rates)
+        self.assertTrue(record.relayed_leaving)
         self.assertEqual([], record.findings, record.faults)
 
 
@@ -56,18 +56,18 @@
             fleet = MeshFleet(0)
             told, revisions, left = [], [], list(answers)
 
-            async def ask(address, method, path, body=b''):
+            async def send_request(address, method, path, body=b''):
                 revisions.append(json.loads(body)['metadata'].get('revision'))
                 return left.pop(0)
 
-            fleet.ask = ask
+            fleet.send_request = send_request
             for _ in answers:
                 try:
                     await fleet.configure([])
                     told.append('written')
-                except NotWritten as exc:
+                except UnconfirmedWriteError as exc:
                     told.append(str(exc))
-            fleet.folder.cleanup()
+            fleet.temp_dir.cleanup()
             return told, revisions
 
         return self.run_paused(scenario())
@@ -85,23 +85,23 @@
 
 class JudgeTest(TestCase):
     def sent(self, **changes):
-        return Sent('q', 'orders', 'a', 200, True, 0.1)._replace(**changes)
+        return SentRequest('q', 'orders', 'a', 200, True, 0.1)._replace(**changes)
 
     def found(self, runs, **changes):
-        return len(judge([self.sent(), self.sent(**changes)], Counter(runs)))
+        return len(find_violations([self.sent(), self.sent(**changes)], Counter(runs)))
 
     def test_each_broken_promise_is_a_finding(self):
         self.assertEqual(0, self.found({'q': 1}))
         self.assertEqual(2, self.found({'q': 2}))
         self.assertEqual(1, self.found({'q': 1}, status=503))
-        self.assertEqual(1, self.found({'q': 1}, sound=False))
+        self.assertEqual(1, self.found({'q': 1}, is_valid=False))
         self.assertEqual(1, self.found({'q': 1}, status=404))
 
 
 class JudgeSaidTest(TestCase):
     def most(self, count, since=10.0, until=20.0):
         arrivals = [Arrival('t', 14.0 + n * 0.01, f'q{n}') for n in range(count)]
-        return len(judge_rates([RateNamed('t', 5.0, since, until)], arrivals))
+        return len(find_rate_violations([AnnouncedRate('t', 5.0, since, until)], arrivals))
 
     def test_a_window_with_more_than_the_rate_allows_is_a_finding(self):
         self.assertEqual([0, 1], [self.most(35), self.most(36)])
@@ -109,13 +109,13 @@
     def test_only_windows_in_which_the_rate_binds_count(self):
         self.assertEqual([0, 0], [self.most(90, since=12.0), self.most(90, until=13.9)])
 
-    def late(self, sent, target='t', disturbed=()):
+    def late(self, sent, target='t', disruptions=()):
         return len(
-            judge_leaving(
-                [PassedOn('a', 't', 10.0), PassedOn('a', 't', 90.0)],
-                [Asked('q', 'a', sent)],
+            find_leaving_violations(
+                [RelayedLeaving('a', 't', 10.0), RelayedLeaving('a', 't', 90.0)],
+                [CallerRequest('q', 'a', sent)],
                 [Arrival(target, sent + 0.1, 'q')],
-                [Disturbed('a', when) for when in disturbed],
+                [NodeDisruption('a', when) for when in disruptions],
             )
         )
 
@@ -124,5 +124,5 @@
 
     def test_an_entry_that_was_ended_since_may_have_forgotten(self):
         self.assertEqual(
-            [0, 1], [self.late(15.0, disturbed=[12.0]), self.late(15.0, disturbed=[9.0])]
+            [0, 1], [self.late(15.0, disruptions=[12.0]), self.late(15.0, disruptions=[9.0])]
         )
--- a/tests/test_stories.py
+++ b/tests/test_stories.py
@@ -4,7 +4,7 @@
 
 from testtools import TestCase
 
-from standins.stories import tell
+from standins.stories import run_scenarios
 from tests.utils import run_cli
 
 
@@ -13,7 +13,7 @@
         # On-call has a request's id and the logs of all nodes, nothing else. The trace names
         # the instance and the decision that ended the request.
         with tempfile.TemporaryDirectory() as folder:
-            found = asyncio.run(tell(Path(folder)))
+            found = asyncio.run(run_scenarios(Path(folder)))
             logs = sorted(map(str, Path(folder).glob('*.log')))
             told = {story: run_cli('trace', name, *logs) for story, name in found.items()}
         self.assertEqual({0}, {result.status for result in told.values()})
--- a/tests/test_whole_path.py
+++ b/tests/test_whole_path.py
@@ -16,12 +16,12 @@
         # the rosters still name it: calls that are routed there never leave the entry node,
         # which proves that they did not run, so they are sent to the other target.
         for name, spec in ORDERS.items():
-            self.fleet.place(name, spec)
-        entry = self.fleet.placed['menai-1']
+            self.fleet.deploy(name, spec)
+        entry = self.fleet.deployments['menai-1']
         for service in ('cut-orders', 'slab-stock'):
             self.apply(entry.name, service)
         self.answered(entry)
-        self.fleet.placed['bangor-1'].node.kill()
+        self.fleet.deployments['bangor-1'].node.kill()
         bodies = [self.answered(entry) for _ in range(10)]
         names = {msgspec.json.decode(body)['target'] for body in bodies}
         self.assertEqual({'caernarfon-1'}, names)
