--- a/tests/ablation.py
+++ b/tests/ablation.py
@@ -24,38 +24,38 @@
 from dunlinsaddle.policy.admission import Ticket
 from dunlinsaddle.policy.context import SLOTS_PER_RANK
 from dunlinsaddle.policy.wait_queue import QueuedWork, WaitQueue
-from tests.fakes.deep_load import DeepLoad, Kind, Pattern, Share
+from tests.fakes.deep_load import DeepLoad, LoadPattern, RequestKind, RequestShares
 from tests.test_deep_load import (
-    ALIKE,
-    ALIKE_SLOTS,
-    ALIKE_SURGE,
     ALL_SHED,
-    UNLIKE,
-    UNLIKE_LOST,
-    UNLIKE_SLOTS,
-    UNLIKE_SURGE,
+    EQUAL_COST,
+    EQUAL_COST_SLOTS,
+    EQUAL_COST_SURGE,
+    UNEQUAL_COST,
+    UNEQUAL_COST_LOST_TARGET,
+    UNEQUAL_COST_SLOTS,
+    UNEQUAL_COST_SURGE,
 )
 
 NEVER = 1e9
 
-Order = Callable[[Ticket], tuple[float, ...]]
+SortKey = Callable[[Ticket], tuple[float, ...]]
 
 
 class Load(NamedTuple):
     """What is played."""
 
     name: str
-    kinds: tuple[Kind, ...]
+    kinds: tuple[RequestKind, ...]
     slots: int
-    pattern: Pattern
+    pattern: LoadPattern
 
 
 LOADS = (
-    Load('alike', ALIKE, ALIKE_SLOTS, ALIKE_SURGE),
-    Load('unlike', UNLIKE, UNLIKE_SLOTS, UNLIKE_SURGE),
-    Load('unlike, one lost', UNLIKE, UNLIKE_SLOTS, UNLIKE_LOST),
-    Load('alike, all shed', ALIKE, ALIKE_SLOTS, ALL_SHED),
-    Load('unlike, nearly full', UNLIKE, UNLIKE_SLOTS, Pattern(surge=1.86)),
+    Load('alike', EQUAL_COST, EQUAL_COST_SLOTS, EQUAL_COST_SURGE),
+    Load('unlike', UNEQUAL_COST, UNEQUAL_COST_SLOTS, UNEQUAL_COST_SURGE),
+    Load('unlike, one lost', UNEQUAL_COST, UNEQUAL_COST_SLOTS, UNEQUAL_COST_LOST_TARGET),
+    Load('alike, all shed', EQUAL_COST, EQUAL_COST_SLOTS, ALL_SHED),
+    Load('unlike, nearly full', UNEQUAL_COST, UNEQUAL_COST_SLOTS, LoadPattern(surge=1.86)),
 )
 
 
@@ -71,7 +71,7 @@
 class _WaitingInOrder(WaitQueue):
     """Calls in another order, in which the work ahead of one is added up."""
 
-    def __init__(self, order: Order, seconds_of: Callable[[str], float]) -> None:
+    def __init__(self, order: SortKey, seconds_of: Callable[[str], float]) -> None:
         super().__init__(seconds_of)
         self._calls = SortedKeyList(key=order)
 
@@ -80,55 +80,57 @@
         return QueuedWork(len(ahead), sum(self._seconds_of(waiting.rule) for waiting in ahead))
 
 
-def _ordered(order: Order) -> AbstractContextManager[Any]:
+def _ordered(order: SortKey) -> AbstractContextManager[Any]:
     return patch.object(slots, 'WaitQueue', partial(_WaitingInOrder, order))
 
 
-class Off(NamedTuple):
+class Override(NamedTuple):
     """How a mechanism is switched off: an argument of the run, or a value that is replaced."""
 
     arguments: dict[str, bool] = {}
-    replaced: Callable[[], AbstractContextManager[Any]] = nullcontext
+    patch_values: Callable[[], AbstractContextManager[Any]] = nullcontext
 
 
 WITHOUT = {
-    '(nothing off)': Off(),
-    'levels upstream': Off({'early': False}),
-    'places by cost': Off({'by_cost': False}),
-    'order by level': Off(replaced=lambda: _ordered(_by_arrival)),
-    'one order for calls and others': Off(replaced=lambda: _ordered(_calls_first)),
-    'rules held back': Off({'by_outcome': False}),
-    'opening when slots are free': Off(
-        replaced=lambda: patch.object(level, 'IDLE_SECONDS_TO_OPEN', NEVER)
+    '(nothing off)': Override(),
+    'levels upstream': Override({'early_refusal': False}),
+    'places by cost': Override({'prioritise_by_cost': False}),
+    'order by level': Override(patch_values=lambda: _ordered(_by_arrival)),
+    'one order for calls and others': Override(patch_values=lambda: _ordered(_calls_first)),
+    'rules held back': Override({'throttle_failures': False}),
+    'opening when slots are free': Override(
+        patch_values=lambda: patch.object(level, 'IDLE_SECONDS_TO_OPEN', NEVER)
     ),
-    'wait for calls to come': Off(replaced=lambda: patch.object(slots, 'MIN_CAPACITY_SHARE', 1.0)),
-    '95 % of the slots (94 %)': Off(
-        replaced=lambda: patch.object(slots, 'USABLE_SLOT_SHARE', 0.94)
+    'wait for calls to come': Override(
+        patch_values=lambda: patch.object(slots, 'MIN_CAPACITY_SHARE', 1.0)
     ),
-    'return within the objective': Off(
-        replaced=lambda: patch.object(level, 'RETRY_AFTER_SHARE', NEVER)
+    '95 % of the slots (94 %)': Override(
+        patch_values=lambda: patch.object(slots, 'USABLE_SLOT_SHARE', 0.94)
+    ),
+    'return within the objective': Override(
+        patch_values=lambda: patch.object(level, 'RETRY_AFTER_SHARE', NEVER)
     ),
 }
 
 
-def play(job: tuple[str, Load, int]) -> dict[str, Share]:
+def run_load(job: tuple[str, Load, int]) -> dict[str, RequestShares]:
     """Play one load with one mechanism off."""
     without, load, seed = job
     off = WITHOUT[without]
-    with off.replaced():
+    with off.patch_values():
         run = DeepLoad(load.kinds, load.pattern, seed, slots=load.slots, **off.arguments)
         return run.run()
 
 
-def row(without: str, load: Load, runs: list[dict[str, Share]]) -> str:
+def format_row(without: str, load: Load, runs: list[dict[str, RequestShares]]) -> str:
     """Give one line of the table."""
     cells = [f'{without:32}', f'{load.name:20}']
     for kind in load.kinds:
         shares = [run[kind.name] for run in runs]
         in_time = [share.in_time for share in shares]
-        mean, lost = sum(in_time) / len(runs), sum(share.spoilt for share in shares) / len(runs)
+        mean, wasted = sum(in_time) / len(runs), sum(share.wasted for share in shares) / len(runs)
         spread = f'{min(in_time):.2f}-{max(in_time):.2f}'
-        cells.append(f'{kind.name} {mean:.2f} ({spread}) lost {lost:.2f}')
+        cells.append(f'{kind.name} {mean:.2f} ({spread}) lost {wasted:.2f}')
     return '  '.join(cells)
 
 
@@ -141,10 +143,10 @@
     seeds = range(1, args.seeds + 1)
     jobs = [(name, load, seed) for name in WITHOUT for load in LOADS for seed in seeds]
     with ProcessPoolExecutor(args.jobs, mp_context=get_context('spawn')) as pool:
-        results = list(pool.map(play, jobs))
+        results = list(pool.map(run_load, jobs))
     for start in range(0, len(jobs), args.seeds):
         name, load, _ = jobs[start]
-        sys.stdout.write(f'{row(name, load, results[start : start + args.seeds])}\n')
+        sys.stdout.write(f'{format_row(name, load, results[start : start + args.seeds])}\n')
 
 
 if __name__ == '__main__':
--- a/tests/builders.py
+++ b/tests/builders.py
@@ -157,7 +157,7 @@
     return Ticket(call_id, level=200, arrived_at=0.0, deadline=10.0)._replace(**changes)
 
 
-def build_work(tokens: int = 3, **changes: Any) -> PendingCall:
+def build_pending_call(tokens: int = 3, **changes: Any) -> PendingCall:
     ctx = CallContext(
         request_id='request-1',
         caller='tablet',
@@ -201,9 +201,9 @@
     return Reply(**{**values, 'body': body, **changes})
 
 
-def build_release(key: str = '', **changes: Any) -> PendingCall:
+def build_release_call(key: str = '', **changes: Any) -> PendingCall:
     """Build a call that must run at most once; where a loop runs, for its deadline."""
-    work = build_work(
+    work = build_pending_call(
         2,
         rule='release',
         idempotent=False,
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -5,7 +5,7 @@
 import pytest
 
 KNOWN_RED = Path(__file__).parent.parent / 'KNOWN-RED.txt'
-MOST_LINES = 3
+MAX_LINES = 3
 
 
 def read_known_red() -> dict[str, str]:
@@ -14,8 +14,8 @@
         return {}
     lines = [line.strip() for line in KNOWN_RED.read_text(encoding='utf-8').splitlines()]
     lines = [line for line in lines if line and not line.startswith('#')]
-    if len(lines) > MOST_LINES:
-        raise pytest.UsageError(f'KNOWN-RED.txt has {len(lines)} lines, at most {MOST_LINES}')
+    if len(lines) > MAX_LINES:
+        raise pytest.UsageError(f'KNOWN-RED.txt has {len(lines)} lines, at most {MAX_LINES}')
     return {line.split('|')[0].strip(): line for line in lines}
 
 
--- a/tests/fakes/deep_load.py
+++ b/tests/fakes/deep_load.py
@@ -20,23 +20,29 @@
 from dunlinsaddle.policy.slots import SlotAdmission
 from dunlinsaddle.records.models import Rank
 from tests.builders import build_ticket
-from tests.fakes.slots_load import Events
+from tests.fakes.slots_load import Simulation
 
 DOMAINS = ('a', 'b', 'c')
-ENTRIES = 12
-REFUSALS_MOST = 3  #: nodes in turn that may refuse a call
-LINK = 0.001  #: seconds between nodes, one way
-BETWEEN_CALLS = 0.005  #: seconds of a caller's own work
-KNEE, KNEE_FACTOR = 0.95, 1.3  #: above this share of its slots a target takes so many times longer
-RATIO, WINDOW = 0.2, 10.0  #: repeats for each call, over so many seconds
-SENDS_MOST = 12  #: of one call that targets turn away
-TURN_AWAY = 0.001  #: seconds in which a target says that it will not run a call
-CALL_OBJECTIVE, CALL_DEADLINE = 0.3, 0.7  #: seconds
+ENTRY_NODES = 12
+MAX_REFUSALS = 3  #: nodes in turn that may refuse a call
+LINK_SECONDS = 0.001  #: seconds between nodes, one way
+BETWEEN_CALLS_SECONDS = 0.005  #: seconds of a caller's own work
+SATURATION_SHARE, SATURATION_SLOWDOWN = (
+    0.95,
+    1.3,
+)  #: above this share of its slots a target takes so many times longer
+RETRY_BUDGET_RATIO, RETRY_BUDGET_WINDOW_SECONDS = (
+    0.2,
+    10.0,
+)  #: repeats for each call, over so many seconds
+MAX_SENDS = 12  #: of one call that targets turn away
+REFUSAL_SECONDS = 0.001  #: seconds in which a target says that it will not run a call
+CALL_OBJECTIVE_SECONDS, CALL_TIMEOUT_SECONDS = 0.3, 0.7  #: seconds
 
 Process = Generator[Any, None, Any]
 
 
-class Kind(NamedTuple):
+class RequestKind(NamedTuple):
     """Requests of one kind. Rates are those of usual load; times in seconds."""
 
     name: str
@@ -44,45 +50,45 @@
     rate: float
     objective: float
     deadline: float
-    seconds: float  #: for which each call, or the request itself, holds a slot
-    above: float = 0.0  #: of work before the calls
+    slot_seconds: float  #: for which each call, or the request itself, holds a slot
+    upstream_seconds: float = 0.0  #: of work before the calls
     chains: int = 0  #: of four calls one after the other, side by side; 0: it is no caller
 
 
-class Pattern(NamedTuple):
+class LoadPattern(NamedTuple):
     """What is unusual from second 2 to 7 of 8."""
 
     surge: float = 1.0  #: times the usual rates
-    hard: float = 0.0  #: share of callers that come again at once, up to three times
-    lost: int = 0  #: targets that are gone
-    sheds: float = 0.0  #: share of what arrives that all targets turn away
-    seconds: float = 5.0  #: for which it lasts, from second 2 on
+    immediate_retries: float = 0.0  #: share of callers that come again at once, up to three times
+    lost_targets: int = 0  #: targets that are gone
+    shed_share: float = 0.0  #: share of what arrives that all targets turn away
+    duration: float = 5.0  #: for which it lasts, from second 2 on
 
 
-class Share(NamedTuple):
+class RequestShares(NamedTuple):
     """Of the requests of one kind that came while the pattern held."""
 
     in_time: float
-    spoilt: float  #: begun, and failed for one of their calls
+    wasted: float  #: begun, and failed for one of their calls
 
 
 @dataclass
-class Try:
+class Attempt:
     """One attempt of a caller."""
 
-    kind: Kind
+    kind: RequestKind
     level: int
     deadline: float
     cost: float = 0.0
-    heard: list[Load] = field(default_factory=list)
+    loads: list[Load] = field(default_factory=list)
 
 
 class Target:
     """One target, and the queue of the node beside it."""
 
-    def __init__(self, instance: str, domain: str, factor: float, slots: int) -> None:
+    def __init__(self, instance: str, domain: str, slowdown: float, slots: int) -> None:
         self.candidate = Candidate(instance, domain)
-        self.factor = factor
+        self.slowdown = slowdown
         self.admission = SlotAdmission()
         self.admission.set_slots(slots)
         self.waiting: dict[int, Process] = {}
@@ -97,214 +103,224 @@
     budget: RetryBudget
 
 
-class Entry(NamedTuple):
+class EntryNode(NamedTuple):
     """A node at which requests come in."""
 
     levels: ChainLevels
     costs: RequestCosts
-    outcomes: FailureThrottle
+    failure_throttle: FailureThrottle
 
 
-class DeepLoad(Events):
-    """A run of eight seconds; ``factors`` are times that targets take for the same call."""
+class DeepLoad(Simulation):
+    """A run of eight seconds; ``slowdowns`` are times that targets take for the same call."""
 
     def __init__(
         self,
-        kinds: tuple[Kind, ...],
-        pattern: Pattern,
+        kinds: tuple[RequestKind, ...],
+        pattern: LoadPattern,
         seed: int,
         *,
         slots: int,
-        factors: tuple[float, ...] = (0.7, 0.7, 1.6),
-        early: bool = True,
-        by_cost: bool = True,
-        by_outcome: bool = True,
+        slowdowns: tuple[float, ...] = (0.7, 0.7, 1.6),
+        early_refusal: bool = True,
+        prioritise_by_cost: bool = True,
+        throttle_failures: bool = True,
     ) -> None:
         super().__init__()
         self.kinds = kinds
         self.pattern = pattern
         self.rng = Random(seed)
         self.slots = slots
-        self.early = early
-        self.by_cost = by_cost
-        self.by_outcome = by_outcome
+        self.early_refusal = early_refusal
+        self.prioritise_by_cost = prioritise_by_cost
+        self.throttle_failures = throttle_failures
         self.targets = {
-            f't{i}': Target(f't{i}', DOMAINS[i % 3], factor, slots)
-            for i, factor in enumerate(factors)
+            f't{i}': Target(f't{i}', DOMAINS[i % 3], slowdown, slots)
+            for i, slowdown in enumerate(slowdowns)
         }
         self.entries = [
-            Entry(ChainLevels(), RequestCosts(), FailureThrottle()) for _ in range(ENTRIES)
+            EntryNode(ChainLevels(), RequestCosts(), FailureThrottle()) for _ in range(ENTRY_NODES)
         ]
         self.callers = [
             CallingNode(Router(domain, Random(self.rng.random())), ChainLevels(), self._budget())
             for domain in DOMAINS
         ]
-        self.asked: Counter[str] = Counter()
+        self.sent: Counter[str] = Counter()
         self.in_time: Counter[str] = Counter()
-        self.spoilt: Counter[str] = Counter()
+        self.wasted: Counter[str] = Counter()
 
     def _budget(self) -> RetryBudget:
         """Give a budget whose window is full of usual calls."""
-        budget = RetryBudget(RATIO, 0.0, WINDOW)
+        budget = RetryBudget(RETRY_BUDGET_RATIO, 0.0, RETRY_BUDGET_WINDOW_SECONDS)
         usual = sum(kind.rate * max(4 * kind.chains, 1) for kind in self.kinds)
-        count = round(usual * WINDOW / len(DOMAINS))
+        count = round(usual * RETRY_BUDGET_WINDOW_SECONDS / len(DOMAINS))
         for index in range(count):
             # Spread over the window: sent in one moment, they would count beside those of the run.
-            budget.record_request(index / count * WINDOW - WINDOW, 'deep')
+            budget.record_request(
+                index / count * RETRY_BUDGET_WINDOW_SECONDS - RETRY_BUDGET_WINDOW_SECONDS, 'deep'
+            )
         return budget
 
-    def run(self) -> dict[str, Share]:
+    def run(self) -> dict[str, RequestShares]:
         for kind in self.kinds:
-            self._next(kind)
-        self.play(8.0 + self.pattern.seconds)
-        return {name: self._share(name) for name in self.asked}
+            self._schedule_next(kind)
+        self.run_until(8.0 + self.pattern.duration)
+        return {name: self._share(name) for name in self.sent}
 
-    def _share(self, name: str) -> Share:
-        asked = self.asked[name]
-        return Share(self.in_time[name] / asked, self.spoilt[name] / asked)
+    def _share(self, name: str) -> RequestShares:
+        sent = self.sent[name]
+        return RequestShares(self.in_time[name] / sent, self.wasted[name] / sent)
 
     @property
-    def unusual(self) -> bool:
-        return 2 <= self.now < 2 + self.pattern.seconds
+    def is_pattern_active(self) -> bool:
+        return 2 <= self.now < 2 + self.pattern.duration
 
-    def _next(self, kind: Kind) -> None:
-        rate = kind.rate * (self.pattern.surge if self.unusual else 1.0)
-        self.at(self.now + self.rng.expovariate(rate), lambda: self._new(kind))
+    def _schedule_next(self, kind: RequestKind) -> None:
+        rate = kind.rate * (self.pattern.surge if self.is_pattern_active else 1.0)
+        self.schedule_at(self.now + self.rng.expovariate(rate), lambda: self._start_request(kind))
 
-    def _new(self, kind: Kind) -> None:
-        if self.now >= 3 + self.pattern.seconds:
+    def _start_request(self, kind: RequestKind) -> None:
+        if self.now >= 3 + self.pattern.duration:
             return
-        self._next(kind)
-        hard = self.unusual and self.rng.random() < self.pattern.hard
-        self._advance(self._request(kind, hard=hard, counted=self.unusual))
+        self._schedule_next(kind)
+        immediate_retries = (
+            self.is_pattern_active and self.rng.random() < self.pattern.immediate_retries
+        )
+        self._advance(
+            self._run_request(
+                kind, immediate_retries=immediate_retries, counted=self.is_pattern_active
+            )
+        )
 
     def _advance(self, process: Process) -> None:
         """Go on with a process: it yields seconds to wait, or a target whose queue it is in."""
         for wait in process:
             if isinstance(wait, float):
-                self.at(self.now + wait, lambda: self._advance(process))
+                self.schedule_at(self.now + wait, lambda: self._advance(process))
             else:
                 target, call_id = wait
                 target.waiting[call_id] = process
             return
 
-    def _request(self, kind: Kind, *, hard: bool, counted: bool) -> Process:
+    def _run_request(self, kind: RequestKind, *, immediate_retries: bool, counted: bool) -> Process:
         began = self.now
-        self.asked[kind.name] += counted
-        for left in range(3 if hard else 1, -1, -1):
-            answer = yield from self._attempt(kind, began + kind.deadline)
+        self.sent[kind.name] += counted
+        for left in range(3 if immediate_retries else 1, -1, -1):
+            answer = yield from self._run_attempt(kind, began + kind.deadline)
             if answer is True:
                 self.in_time[kind.name] += counted and self.now <= began + kind.objective
                 return
             if answer is False:
-                self.spoilt[kind.name] += counted
+                self.wasted[kind.name] += counted
                 return
             if left:
                 time_left = began + kind.deadline - self.now
-                yield 0.01 if hard else min(answer, time_left / 3)
+                yield 0.01 if immediate_retries else min(answer, time_left / 3)
 
-    def _attempt(self, kind: Kind, deadline: float) -> Process:
+    def _run_attempt(self, kind: RequestKind, deadline: float) -> Process:
         """Give True when served, False when lost on the way, seconds to come back if refused."""
         entry = self.rng.choice(self.entries)
         priority = Priority(kind.rank, self.rng.randrange(SLOTS_PER_RANK))
-        if self.by_cost:
+        if self.prioritise_by_cost:
             priority = entry.costs.adjust_priority(self.now, kind.name, priority)
-        one = Try(kind, priority.level, deadline)
-        if self.early:
+        attempt = Attempt(kind, priority.level, deadline)
+        if self.early_refusal:
             failure = entry.levels.check(
-                self.now, 'deep', kind.name, one.level, useful_for=kind.objective
+                self.now, 'deep', kind.name, attempt.level, useful_for=kind.objective
             )
             if failure is not None:
                 return failure.retry_after
         caller = self.rng.choice(self.callers)
-        if self.by_outcome and not entry.outcomes.admits(self.now, kind.name):
+        if self.throttle_failures and not entry.failure_throttle.admits(self.now, kind.name):
             return kind.objective / 2
-        answer = yield from (self._chains if kind.chains else self._direct)(one, caller)
-        for load in one.heard:
-            heard = ReportedLevel(load.level, load.age)
-            entry.levels.record_response(self.now, 'deep', kind.name, heard)
+        answer = yield from (self._run_chains if kind.chains else self._call_directly)(
+            attempt, caller
+        )
+        for load in attempt.loads:
+            reported = ReportedLevel(load.level, load.age)
+            entry.levels.record_response(self.now, 'deep', kind.name, reported)
         if answer in (True, False):
-            entry.outcomes.record_end(self.now, kind.name, failed=answer is False)
+            entry.failure_throttle.record_end(self.now, kind.name, failed=answer is False)
         if answer is True:
-            entry.costs.record(self.now, kind.name, kind.rank, one.cost)
+            entry.costs.record(self.now, kind.name, kind.rank, attempt.cost)
         return answer
 
-    def _direct(self, one: Try, caller: CallingNode) -> Process:
-        useful = self.now + one.kind.objective
-        again, heard = yield from self._call(caller, one, 0, one.deadline, useful)
-        one.heard += heard
+    def _call_directly(self, attempt: Attempt, caller: CallingNode) -> Process:
+        useful = self.now + attempt.kind.objective
+        again, loads = yield from self._call(caller, attempt, 0, attempt.deadline, useful)
+        attempt.loads += loads
         return True if again is None else again
 
-    def _chains(self, one: Try, caller: CallingNode) -> Process:
-        yield one.kind.above * self.rng.uniform(0.5, 1.5)
+    def _run_chains(self, attempt: Attempt, caller: CallingNode) -> Process:
+        yield attempt.kind.upstream_seconds * self.rng.uniform(0.5, 1.5)
         ended: list[bool] = []
-        for _ in range(one.kind.chains):
-            self._advance(self._chain(one, caller, ended))
-        while len(ended) < one.kind.chains and False not in ended:
+        for _ in range(attempt.kind.chains):
+            self._advance(self._run_chain(attempt, caller, ended))
+        while len(ended) < attempt.kind.chains and False not in ended:
             yield 0.002
         worst = caller.levels.lowest_in_chain(self.now, 'middle', ReportedLevel(LOWEST_LEVEL))
-        one.heard.append(Load(level=worst.level, age=worst.age))
+        attempt.loads.append(Load(level=worst.level, age=worst.age))
         return all(ended)
 
-    def _chain(self, one: Try, caller: CallingNode, ended: list[bool]) -> Process:
+    def _run_chain(self, attempt: Attempt, caller: CallingNode, ended: list[bool]) -> Process:
         for _ in range(4):
             caller.levels.record_call(self.now, 'middle', 'deep', 'call')
-            deadline, useful = self.now + CALL_DEADLINE, self.now + CALL_OBJECTIVE
-            again, heard = yield from self._call(caller, one, 3, deadline, useful)
-            for load in heard:
+            deadline, useful = self.now + CALL_TIMEOUT_SECONDS, self.now + CALL_OBJECTIVE_SECONDS
+            again, loads = yield from self._call(caller, attempt, 3, deadline, useful)
+            for load in loads:
                 caller.levels.record_response(self.now, 'deep', 'call', ReportedLevel(load.level))
             if again is not None:
                 ended.append(False)
                 return
-            yield BETWEEN_CALLS
+            yield BETWEEN_CALLS_SECONDS
         ended.append(True)
 
     def _call(
-        self, caller: CallingNode, one: Try, hop: int, deadline: float, useful: float
+        self, caller: CallingNode, attempt: Attempt, hop: int, deadline: float, useful: float
     ) -> Process:
         """Ask one target after another; gives None or seconds to come back, and loads heard."""
-        gone = self.pattern.lost if self.unusual else 0
+        gone = self.pattern.lost_targets if self.is_pattern_active else 0
         candidates = [t.candidate for t in list(self.targets.values())[gone:]]
         router = caller.router
         caller.budget.record_request(self.now, 'deep')
         turned_away = 0
         tried: set[str] = set()
-        heard: list[Load] = []
+        loads: list[Load] = []
         again: float | None = 0.5
-        while again is not None and len(tried) < min(REFUSALS_MOST, len(candidates)):
+        while again is not None and len(tried) < min(MAX_REFUSALS, len(candidates)):
             chosen = router.choose(self.now, candidates, frozenset(tried))
             assert chosen is not None
             tried.add(chosen.instance)
             target = self.targets[chosen.instance]
             router.record_sent(chosen.instance)
-            yield LINK
+            yield LINK_SECONDS
             ticket = build_ticket(
-                next(self.numbers),
+                next(self.sequence),
                 arrived_at=self.now,
-                level=one.level,
+                level=attempt.level,
                 deadline=deadline,
-                rule='call' if hop else one.kind.name,
+                rule='call' if hop else attempt.kind.name,
                 hop=hop,
                 useful_until=useful,
             )
-            again = yield from self._admitted(target, ticket)
+            again = yield from self._admit(target, ticket)
             away = False
             if again is None:
-                away = yield from self._run(target, ticket, one)
-            yield LINK
-            heard.append(target.admission.load(self.now))
-            router.record_answer(self.now, chosen.instance, heard[-1], error=away)
+                away = yield from self._run_call(target, ticket, attempt)
+            yield LINK_SECONDS
+            loads.append(target.admission.load(self.now))
+            router.record_answer(self.now, chosen.instance, loads[-1], error=away)
             if away:
                 again = 0.5
                 turned_away += 1
                 tried.clear()
-                if turned_away == SENDS_MOST or not caller.budget.spend(
-                    self.now, 'deep', one.level
+                if turned_away == MAX_SENDS or not caller.budget.spend(
+                    self.now, 'deep', attempt.level
                 ):
                     break
-        return again, heard
+        return again, loads
 
-    def _admitted(self, target: Target, ticket: Ticket) -> Process:
+    def _admit(self, target: Target, ticket: Ticket) -> Process:
         """Give None when a slot is free for the call, or seconds to come back."""
         match target.admission.admit(self.now, ticket):
             case Refuse(failure):
@@ -317,21 +333,25 @@
                     return 0.5
         return None
 
-    def _run(self, target: Target, ticket: Ticket, one: Try) -> Process:
-        if self.unusual and self.pattern.sheds and self.rng.random() < self.pattern.sheds:
-            yield TURN_AWAY
+    def _run_call(self, target: Target, ticket: Ticket, attempt: Attempt) -> Process:
+        if (
+            self.is_pattern_active
+            and self.pattern.shed_share
+            and self.rng.random() < self.pattern.shed_share
+        ):
+            yield REFUSAL_SECONDS
             sample = Sample(ticket.rule, 0.0, completed=False)
-            self._ended(target, ticket, sample)
+            self._finish(target, ticket, sample)
             return True
-        nearly_full = target.admission.inflight > KNEE * self.slots
-        factor = target.factor * (KNEE_FACTOR if nearly_full else 1.0)
-        seconds = one.kind.seconds * factor * self.rng.uniform(0.5, 1.5)
+        nearly_full = target.admission.inflight > SATURATION_SHARE * self.slots
+        slowdown = target.slowdown * (SATURATION_SLOWDOWN if nearly_full else 1.0)
+        seconds = attempt.kind.slot_seconds * slowdown * self.rng.uniform(0.5, 1.5)
         yield seconds
-        one.cost += seconds / target.admission.limit
-        self._ended(target, ticket, Sample(ticket.rule, seconds, completed=True))
+        attempt.cost += seconds / target.admission.limit
+        self._finish(target, ticket, Sample(ticket.rule, seconds, completed=True))
         return False
 
-    def _ended(self, target: Target, ticket: Ticket, sample: Sample) -> None:
+    def _finish(self, target: Target, ticket: Ticket, sample: Sample) -> None:
         target.admission.finish(self.now, ticket, sample)
         released = target.admission.dequeue(self.now)
         for started in released.started:
@@ -342,4 +362,4 @@
 
     def _wake(self, target: Target, ticket: Ticket) -> None:
         process = target.waiting.pop(ticket.call_id)
-        self.at(self.now, lambda: self._advance(process))
+        self.schedule_at(self.now, lambda: self._advance(process))
--- a/tests/fakes/pair.py
+++ b/tests/fakes/pair.py
@@ -16,7 +16,7 @@
 from tests.fakes.store import FakeStore
 
 HOST = '127.0.0.1'
-ANNOUNCE_EVERY = 2.0
+ANNOUNCE_INTERVAL_SECONDS = 2.0
 
 
 class SleepingTarget:
@@ -41,8 +41,8 @@
         return HttpResponse(200, [], number.encode())
 
 
-class Pair:
-    """Node ``entry`` has no target; node ``beside`` has one of cut-orders."""
+class NodePair:
+    """Node ``entry_node`` has no target; node ``target_node`` has one of cut-orders."""
 
     def __init__(self, target: SleepingTarget, **record: object) -> None:
         self.target = target
@@ -50,13 +50,13 @@
         self.client = HttpClient()
         self.store = FakeStore()
 
-    async def start(self) -> 'Pair':
+    async def start(self) -> 'NodePair':
         await self.store.put(RECORDS, 'cut-orders', {'record': self.document}, 0)
         face = HttpListener(self.target.handle, HttpLimits())
         await face.listen(Address(HOST, 9000))
-        self.entry = await self.start_node('menai-1', 100)
-        self.beside = await self.start_node('bangor-1', 200)
-        self.announcing = asyncio.get_running_loop().create_task(self.announce())
+        self.entry_node = await self.start_node('menai-1', 100)
+        self.target_node = await self.start_node('bangor-1', 200)
+        self.announce_task = asyncio.get_running_loop().create_task(self.announce())
         # Three announcements: from then on silence is known to mean something.
         await asyncio.sleep(4.5)
         return self
@@ -66,8 +66,8 @@
         said = msgspec.json.encode({'service': 'cut-orders', 'address': f'{HOST}:9000'})
         req = HttpRequest('POST', '/-/announce', [], said, '')
         while True:
-            await self.client.send(self.beside.addresses.local, req, 1)
-            await asyncio.sleep(ANNOUNCE_EVERY)
+            await self.client.send(self.target_node.addresses.local, req, 1)
+            await asyncio.sleep(ANNOUNCE_INTERVAL_SECONDS)
 
     async def start_node(self, name: str, port: int) -> Node:
         names = ('callers', 'local', 'peers', 'operators')
@@ -97,7 +97,7 @@
         return await self.send(node.addresses.callers, 'GET', path, number=str(number), **headers)
 
     async def stop(self) -> None:
-        self.announcing.cancel()
+        self.announce_task.cancel()
         self.client.close()
-        for node in (self.entry, self.beside):
+        for node in (self.entry_node, self.target_node):
             await node.stop()
--- a/tests/fakes/rated_load.py
+++ b/tests/fakes/rated_load.py
@@ -13,26 +13,26 @@
 from dunlinsaddle.policy.rate_limit import MIN_RATE
 from dunlinsaddle.policy.route import Candidate, Router
 from tests.builders import build_ticket
-from tests.fakes.slots_load import ByNode, Events
+from tests.fakes.slots_load import AdmissionControlledTarget, Simulation
 
 SLOTS = 40
-SECONDS = 0.1  #: for which a call holds a slot
-OBJECTIVE = 1.5
-WAY = 0.001  #: seconds to a target or back
-TRIES = 3  #: targets in turn that may refuse a call
+SERVICE_SECONDS = 0.1  #: for which a call holds a slot
+OBJECTIVE_SECONDS = 1.5
+ONE_WAY_SECONDS = 0.001  #: seconds to a target or back
+MAX_TARGETS_TRIED = 3  #: targets in turn that may refuse a call
 DOMAINS = 3
 
 
-class Out(NamedTuple):
+class PendingRequest(NamedTuple):
     """A call on its way."""
 
     router: Router
-    began: float
+    started_at: float
     tried: frozenset[str]
     level: int
 
 
-class RatedTarget(ByNode):
+class RatedTarget(AdmissionControlledTarget):
     """A target behind its node."""
 
     def __init__(self, load: 'RatedLoad', number: int, rate: float | None) -> None:
@@ -40,96 +40,99 @@
         self.candidate = Candidate(f't{number}', f'd{number % DOMAINS}')
         self.rate = rate
         self.admission.set_slots(SLOTS)
-        self.starts: list[float] = []
+        self.start_times: list[float] = []
         self.refused = 0
 
 
-class RatedLoad(Events):
-    """Requests at ``entries`` for some seconds, so many a second at all of them together."""
+class RatedLoad(Simulation):
+    """Requests at ``entry_count`` for some seconds, so many a second at all of them together."""
 
     def __init__(
-        self, entries: int, rates: list[float | None], requests: float, seed: int = 1
+        self, entry_count: int, rates: list[float | None], requests_per_second: float, seed: int = 1
     ) -> None:
         super().__init__()
         self.rng = Random(seed)
-        self.requests = requests
+        self.requests_per_second = requests_per_second
         targets = [RatedTarget(self, number, rate) for number, rate in enumerate(rates)]
         self.targets = {target.candidate.instance: target for target in targets}
         self.candidates = [target.candidate for target in targets]
-        self.routers = [Router(f'd{n % DOMAINS}', Random(seed + n)) for n in range(entries)]
+        self.routers = [Router(f'd{n % DOMAINS}', Random(seed + n)) for n in range(entry_count)]
         for router in self.routers:
-            router.sender_count = entries
-        self.ended: Counter[str] = Counter()
-        self.seconds: list[float] = []
-        self._calls: dict[int, Out] = {}
-        self._due: set[str] = set()
+            router.sender_count = entry_count
+        self.outcomes: Counter[str] = Counter()
+        self.latencies: list[float] = []
+        self._calls: dict[int, PendingRequest] = {}
+        self._scheduled_wakes: set[str] = set()
 
     def run(self, seconds: float) -> 'RatedLoad':
-        self.at(0.0, lambda: self._new(seconds))
-        self.play(seconds + 10.0)
+        self.schedule_at(0.0, lambda: self._start_request(seconds))
+        self.run_until(seconds + 10.0)
         return self
 
-    def _new(self, until: float) -> None:
+    def _start_request(self, until: float) -> None:
         if self.now >= until:
             return
-        self.at(self.now + self.rng.expovariate(self.requests), lambda: self._new(until))
+        self.schedule_at(
+            self.now + self.rng.expovariate(self.requests_per_second),
+            lambda: self._start_request(until),
+        )
         level = self.rng.randrange(384)
-        self._send(Out(self.rng.choice(self.routers), self.now, frozenset(), level))
+        self._send(PendingRequest(self.rng.choice(self.routers), self.now, frozenset(), level))
 
-    def _send(self, out: Out) -> None:
-        chosen = out.router.choose(self.now, self.candidates, out.tried)
-        if chosen is None or len(out.tried) == TRIES:
-            self.ended['refused'] += 1
+    def _send(self, request: PendingRequest) -> None:
+        chosen = request.router.choose(self.now, self.candidates, request.tried)
+        if chosen is None or len(request.tried) == MAX_TARGETS_TRIED:
+            self.outcomes['refused'] += 1
             return
-        out.router.record_sent(chosen.instance)
+        request.router.record_sent(chosen.instance)
         target = self.targets[chosen.instance]
-        self.at(self.now + WAY, lambda: self._arrive(target, out))
+        self.schedule_at(self.now + ONE_WAY_SECONDS, lambda: self._arrive(target, request))
 
-    def _arrive(self, target: RatedTarget, out: Out) -> None:
-        number = next(self.numbers)
-        self._calls[number] = out
+    def _arrive(self, target: RatedTarget, request: PendingRequest) -> None:
+        number = next(self.sequence)
+        self._calls[number] = request
         ticket = build_ticket(
             number,
             arrived_at=self.now,
-            level=out.level,
-            deadline=out.began + 5.0,
-            useful_until=out.began + OBJECTIVE,
+            level=request.level,
+            deadline=request.started_at + 5.0,
+            useful_until=request.started_at + OBJECTIVE_SECONDS,
         )
         target.arrive(self.now, ticket)
         self._wake(target)
 
     def _start(self, target: RatedTarget, ticket: Ticket) -> None:
-        target.starts.append(self.now)
-        seconds = SECONDS * self.rng.uniform(0.6, 1.4)
-        self.at(self.now + seconds, lambda: self._end(target, ticket, seconds))
+        target.start_times.append(self.now)
+        seconds = SERVICE_SECONDS * self.rng.uniform(0.6, 1.4)
+        self.schedule_at(self.now + seconds, lambda: self._end(target, ticket, seconds))
 
     def _end(self, target: RatedTarget, ticket: Ticket, seconds: float) -> None:
         target.admission.finish(self.now, ticket, Sample(ticket.rule, seconds, completed=True))
         target.admission.set_rate_limit(self.now, target.rate)
-        out = self._calls.pop(ticket.call_id)
-        self.ended['served'] += 1
-        self.seconds.append(self.now + WAY - out.began)
-        self._reply(target, out, lambda: None)
+        request = self._calls.pop(ticket.call_id)
+        self.outcomes['served'] += 1
+        self.latencies.append(self.now + ONE_WAY_SECONDS - request.started_at)
+        self._reply(target, request, lambda: None)
         self._release(target)
 
     def _refuse(self, target: RatedTarget, ticket: Ticket, retry_after: float) -> None:
         target.refused += 1
-        out = self._calls.pop(ticket.call_id)
-        again = out._replace(tried=out.tried | {target.candidate.instance})
-        self._reply(target, out, lambda: self._send(again))
+        request = self._calls.pop(ticket.call_id)
+        again = request._replace(tried=request.tried | {target.candidate.instance})
+        self._reply(target, request, lambda: self._send(again))
 
-    def _reply(self, target: RatedTarget, out: Out, then) -> None:
+    def _reply(self, target: RatedTarget, request: PendingRequest, then) -> None:
         load: Load = target.admission.load(self.now)
         rate = None if target.rate is None else max(target.rate, MIN_RATE)
         use = target.admission.rate_utilisation(self.now)
 
         def heard() -> None:
             name = target.candidate.instance
-            out.router.record_answer(self.now, name, load)
-            out.router.record_rate(self.now, name, rate, use)
+            request.router.record_answer(self.now, name, load)
+            request.router.record_rate(self.now, name, rate, use)
             then()
 
-        self.at(self.now + WAY, heard)
+        self.schedule_at(self.now + ONE_WAY_SECONDS, heard)
 
     def _release(self, target: RatedTarget) -> None:
         target.release(self.now)
@@ -138,12 +141,12 @@
     def _wake(self, target: RatedTarget) -> None:
         seconds = target.admission.seconds_to_next_start(self.now)
         name = target.candidate.instance
-        if seconds is None or name in self._due:
+        if seconds is None or name in self._scheduled_wakes:
             return
-        self._due.add(name)
+        self._scheduled_wakes.add(name)
 
         def due() -> None:
-            self._due.discard(name)
+            self._scheduled_wakes.discard(name)
             self._release(target)
 
-        self.at(self.now + seconds, due)
+        self.schedule_at(self.now + seconds, due)
--- a/tests/fakes/site.py
+++ b/tests/fakes/site.py
@@ -46,21 +46,23 @@
 class Target:
     """Has slots, takes its time, and then calls the services below on behalf of its caller."""
 
-    def __init__(self, *, below: tuple[str, ...] = (), slots: int = 1000, seconds: float = 0.01):
-        self.below = below
-        self.seconds = seconds
+    def __init__(
+        self, *, downstream: tuple[str, ...] = (), slots: int = 1000, service_seconds: float = 0.01
+    ):
+        self.downstream = downstream
+        self.service_seconds = service_seconds
         self.slots = asyncio.Semaphore(slots)
         self.runs: Counter[str] = Counter()  #: by the id of the root request
         self.cancelled = 0
         self.node: Node
-        self.face = HttpListener(self.handle, HttpLimits())
+        self.listener = HttpListener(self.handle, HttpLimits())
 
     async def handle(self, req: HttpRequest) -> HttpResponse:
         self.runs[req.header(b'dunlinsaddle-request')] += 1
         try:
             async with self.slots:
-                await asyncio.sleep(self.seconds)
-            statuses = [await self.call(path, req) for path in self.below]
+                await asyncio.sleep(self.service_seconds)
+            statuses = [await self.call(path, req) for path in self.downstream]
         except asyncio.CancelledError:
             self.cancelled += 1
             raise
@@ -84,22 +86,24 @@
         self.targets: dict[str, Any] = {}
         self.client = HttpClient()
         self.rng = Random(seed)
-        self.lose = 0.0  #: share of the answers between nodes that get lost
-        self.cut: Callable[[str, str], bool] = lambda one, other: False  #: of failure domains
+        self.reply_loss_rate = 0.0  #: share of the answers between nodes that get lost
+        self.is_link_cut: Callable[[str, str], bool] = lambda one, other: (
+            False
+        )  #: of failure domains
         self._names: dict[Address, str] = {}
 
-    async def write(self, service: str = 'cut-orders', **changes: Any) -> int:
+    async def write_record(self, service: str = 'cut-orders', **changes: Any) -> int:
         held = self.store.objects.get((RECORDS, service))
         value = {'record': build_document(service, **changes)}
         written = await self.store.put(RECORDS, service, value, held.version if held else 0)
         return written.unwrap().version
 
-    async def start(
+    async def start_node(
         self, name: str, domain: str = 'bangor-hall', store: Any = None, **settings: str
     ) -> Node:
         port = 100 * (len(self.nodes) + 1)
         names = ('callers', 'local', 'peers', 'operators', 'gossip')
-        faces = {face: f'{HOST}:{port + n}' for n, face in enumerate(names)}
+        faces = {listener: f'{HOST}:{port + n}' for n, listener in enumerate(names)}
         cfg = build_settings(instance=name, domain=domain, **faces, **settings)
         env = build_environment(rng=Random(self.rng.random()), wall_clock=paused_wall_clock)
         node = Node(cfg, env, build_logger())
@@ -110,15 +114,15 @@
         self._names[node.addresses.peers] = self._names[node.addresses.gossip] = domain
         return node
 
-    async def place(
+    async def start_target(
         self, name: str, service: str, target: Any = None, domain: str = 'bangor-hall'
     ) -> Node:
         """Start a target and the node beside it."""
         target = target or Target()
-        node = await self.start(name, domain)
+        node = await self.start_node(name, domain)
         target.node = node
         address = Address(HOST, node.addresses.callers.port + 10)
-        await target.face.listen(address)
+        await target.listener.listen(address)
         said = {'service': service, 'address': str(address)}
         req = HttpRequest('POST', '/-/announce', [], msgspec.json.encode(said), '')
         await self.client.send(node.addresses.local, req, 5)
@@ -145,11 +149,11 @@
         call, dial, listen = node.links.call, node.links._connect, node.agent.listen
 
         def away(address: Address) -> bool:
-            return self.cut(domain, self._names.get(address, domain))
+            return self.is_link_cut(domain, self._names.get(address, domain))
 
         async def losing(address: Address, frame: Any) -> Any:
             reply = await call(address, frame)
-            lost = isinstance(reply, Reply) and self.rng.random() < self.lose
+            lost = isinstance(reply, Reply) and self.rng.random() < self.reply_loss_rate
             return Lost('the answer got lost') if lost else reply
 
         async def dialling(address: Address) -> Any:
--- a/tests/fleet_case.py
+++ b/tests/fleet_case.py
@@ -1,24 +1,21 @@
 """A test case over real processes: a platform, nodes and targets on loopback."""
-
 import asyncio
+import msgspec
 import tempfile
 import time
 from collections.abc import Callable
-from pathlib import Path
-from typing import Any
-
-import msgspec
-from testtools import TestCase
-
 from dunlinsaddle.calls.http import HttpResponse
 from dunlinsaddle.settings import parse_address
+from pathlib import Path
 from standins.caller import Caller
 from standins.demo import run_operator_command
 from standins.fleet import Deployment, Fleet, TargetSpec
 from tests.builders import build_document
+from testtools import TestCase
+from typing import Any
 
 DOMAINS = {'bangor-1': 'bangor-hall', 'caernarfon-1': 'caernarfon-hall', 'menai-1': 'menai-hall'}
-PATIENCE = 10.0
+TIMEOUT_SECONDS = 10.0
 
 
 class FleetCase(TestCase):
@@ -30,12 +27,12 @@
         self.fleet.__enter__()
         self.addCleanup(self.fleet.__exit__, None, None, None)
 
-    def place_everywhere(self, slots: int, seconds: float) -> None:
+    def start_target_in_each_domain(self, slots: int, seconds: float) -> None:
         """Start a target of cut-orders in each of three failure domains."""
         for name, domain in DOMAINS.items():
             self.fleet.deploy(name, TargetSpec('cut-orders', domain, slots, seconds))
 
-    def operate(self, name: str, *argv: str) -> Any:
+    def run_command(self, name: str, *argv: str) -> Any:
         """Run the command line against one node; gives the JSON it wrote."""
         return msgspec.json.decode(
             run_operator_command(
@@ -43,12 +40,12 @@
             )
         )
 
-    def apply(self, name: str, service: str = 'cut-orders', **changes: Any) -> int:
+    def apply_record(self, name: str, service: str = 'cut-orders', **changes: Any) -> int:
         """Write a record through one node; gives its version."""
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / f'{service}.json'
             path.write_bytes(msgspec.json.encode(build_document(service, **changes)))
-            return self.operate(name, 'apply', str(path))[0]['version']
+            return self.run_command(name, 'apply', str(path))[0]['version']
 
     def call(self, placed: Deployment, path: str = '/cut-orders/orders/17') -> HttpResponse | None:
         """Send one call by the caller face of a node."""
@@ -61,7 +58,7 @@
 
         return asyncio.run(once())
 
-    def answered(self, placed: Deployment) -> bytes:
+    def wait_for_answer(self, placed: Deployment) -> bytes:
         """Give the body of the first call that is answered by a target."""
         found: list[bytes] = []
 
@@ -71,19 +68,19 @@
                 found.append(response.body)
             return bool(found)
 
-        self.within(PATIENCE, look)
+        self.wait_until(TIMEOUT_SECONDS, look)
         return found[0]
 
-    def within(self, limit: float, holds: Callable[[], bool]) -> float:
+    def wait_until(self, limit: float, holds: Callable[[], bool]) -> float:
         """Wait until something holds; gives the seconds it took."""
         began = time.monotonic()
         while not holds():
             if time.monotonic() - began > limit:
-                raise AssertionError(f'not within {limit} s: {self.seen()}')
+                raise AssertionError(f'not within {limit} s: {self.observe_targets()}')
             time.sleep(0.01)
         return time.monotonic() - began
 
-    def seen(self, by: str = '', field: str = 'state') -> dict[str, str]:
+    def observe_targets(self, by: str = '', field: str = 'state') -> dict[str, str]:
         """Give a field of each target as one node sees it."""
-        rows = self.operate(by or next(iter(self.fleet.deployments)), 'targets')
+        rows = self.run_command(by or next(iter(self.fleet.deployments)), 'targets')
         return {row['instance']: row[field] for row in rows}
--- a/tests/once_cluster.py
+++ b/tests/once_cluster.py
@@ -22,7 +22,7 @@
 from dunlinsaddle.policy.route import Router
 from dunlinsaddle.settings import Address
 from dunlinsaddle.stats import Stats
-from tests.builders import build_member, build_release
+from tests.builders import build_member, build_release_call
 from tests.fakes.store import FakeStore
 
 SERVICE = 'cut-orders'
@@ -146,7 +146,7 @@
         cluster.open_sends[key] += 1
         cluster.sends[key] += 1
         send_number = cluster.sends[key]
-        reply = await self.handle(build_release(key, **changes))
+        reply = await self.handle(build_release_call(key, **changes))
         cluster.open_sends[key] -= 1
         is_only_send = is_only_send and cluster.sends[key] == send_number
         if key:
--- a/tests/test_ablation.py
+++ b/tests/test_ablation.py
@@ -9,7 +9,7 @@
 class AblationTest(TestCase):
     def starts(self, without: str) -> list[int]:
         """Give the order in which calls start that wait, by their ids, with a mechanism off."""
-        with WITHOUT[without].replaced():
+        with WITHOUT[without].patch_values():
             admission = SlotAdmission()
             admission.set_slots(1)
             first = build_ticket(0, deadline=99.0)
--- a/tests/test_chain.py
+++ b/tests/test_chain.py
@@ -26,12 +26,12 @@
 
     async def build_chain(self, site, depth, copies=2, **deepest):
         for hop in range(depth):
-            await site.write(f's{hop}', retry_bound=BOUND, requests=RULES)
-            below = (f'/s{hop + 1}{LOOK}',) if hop + 1 < depth else ()
+            await site.write_record(f's{hop}', retry_bound=BOUND, requests=RULES)
+            downstream = (f'/s{hop + 1}{LOOK}',) if hop + 1 < depth else ()
             for copy in range(copies):
-                target = Target(below=below, **(deepest if not below else {}))
-                await site.place(f's{hop}-{copy}', f's{hop}', target)
-        await site.start('entry')
+                target = Target(downstream=downstream, **(deepest if not downstream else {}))
+                await site.start_target(f's{hop}-{copy}', f's{hop}', target)
+        await site.start_node('entry')
         await asyncio.sleep(6)
 
     def test_retries_over_a_chain_of_nodes_stay_within_the_bound(self):
@@ -40,7 +40,7 @@
         # 3**11 runs of the deepest service for one request; the allowance is shared instead.
         async def use(site, depth):
             await self.build_chain(site, depth)
-            site.lose = 0.3
+            site.reply_loss_rate = 0.3
             for number in range(25):
                 await site.call('entry', f'/s0{LOOK}', request_id=f'r{number}')
             most = Counter()
@@ -60,7 +60,7 @@
         # can do, and ask again at once when refused. Lookups are shed; a release and what the
         # services above call on its behalf are not, for the rank of the root goes down.
         async def use(site):
-            await self.build_chain(site, 3, copies=1, slots=5, seconds=0.25)
+            await self.build_chain(site, 3, copies=1, slots=5, service_seconds=0.25)
             ends = Counter()
 
             async def press(number, method, path, pause):
@@ -88,10 +88,10 @@
         # is full of ordinary lookups: the release must go before them, whoever asked for it.
         async def use(site):
             for service in ('s0', 's1'):
-                await site.write(service, requests=RULES)
-            await site.place('s0-0', 's0', Target(below=(f'POST /s1{RELEASE}',)))
-            await site.place('s1-0', 's1', Target(slots=5, seconds=0.25))
-            await site.start('entry')
+                await site.write_record(service, requests=RULES)
+            await site.start_target('s0-0', 's0', Target(downstream=(f'POST /s1{RELEASE}',)))
+            await site.start_target('s1-0', 's1', Target(slots=5, service_seconds=0.25))
+            await site.start_node('entry')
             await asyncio.sleep(6)
             seen = []
             execute = site.nodes['s1-0'].executor.execute
@@ -109,7 +109,7 @@
 
     def test_a_caller_that_goes_ends_the_work_of_the_whole_chain(self):
         async def use(site):
-            await self.build_chain(site, 5, copies=1, seconds=9.0)
+            await self.build_chain(site, 5, copies=1, service_seconds=9.0)
             call = asyncio.create_task(site.call('entry', f'/s0{LOOK}'))
             await asyncio.sleep(1)
             call.cancel()
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -17,7 +17,7 @@
 from dunlinsaddle.policy.route import Router
 from dunlinsaddle.settings import Address
 from dunlinsaddle.stats import Stats
-from tests.builders import build_member, build_work
+from tests.builders import build_member, build_pending_call
 from tests.clock import PausedClockTest
 
 DONE = Reply(0, 200, [], b'ok', Outcome.DONE)
@@ -105,7 +105,7 @@
                 Stats(),
                 quarantine_state,
             )
-            return await dispatcher.dispatch(build_work(**changes))
+            return await dispatcher.dispatch(build_pending_call(**changes))
 
         return self.run_paused(scenario())
 
@@ -145,8 +145,10 @@
             dispatcher.idempotency_router = FakeIdempotencyRouter()
             now = asyncio.get_running_loop().time()
             executor.levels.record_response(now, 'cut-orders', 'read', ReportedLevel(-1.0))
-            keyed_reply = await dispatcher.dispatch(build_work(key='a-key', idempotent=False))
-            plain_reply = await dispatcher.dispatch(build_work())
+            keyed_reply = await dispatcher.dispatch(
+                build_pending_call(key='a-key', idempotent=False)
+            )
+            plain_reply = await dispatcher.dispatch(build_pending_call())
             return keyed_reply, plain_reply
 
         keyed_reply, plain_reply = self.run_paused(scenario())
@@ -167,7 +169,7 @@
             router = Router('bangor-hall', Random(1))
             executor = build_executor(FakeTarget(), quarantine_state)
             parts = (view, router, SlowLinks(), executor, Stats(), quarantine_state)
-            task = asyncio.create_task(Dispatcher('entry', *parts).dispatch(build_work()))
+            task = asyncio.create_task(Dispatcher('entry', *parts).dispatch(build_pending_call()))
             await asyncio.sleep(0.1)
             outstanding_during = router.report(0.1, 'bangor-1', '')['outstanding']
             task.cancel()
@@ -209,7 +211,7 @@
 class ExecuteTest(PausedClockTest):
     def execute(self, build, **changes) -> Reply:
         async def scenario() -> Reply:
-            return await build().execute(build_work(**changes))
+            return await build().execute(build_pending_call(**changes))
 
         return self.run_paused(scenario())
 
@@ -251,7 +253,9 @@
             executor = build_executor(
                 SlowTarget(), Quarantine(), is_observe_only=lambda service: True
             )
-            works = [build_work(fingerprint=n, deaths=d) for n, d in ((1, 2), (2, 1), (3, 1))]
+            works = [
+                build_pending_call(fingerprint=n, deaths=d) for n, d in ((1, 2), (2, 1), (3, 1))
+            ]
             replies = await asyncio.gather(*map(executor.execute, works))
             refused = executor.stats.observed_refusals[ErrorKind.QUARANTINED.value]
             return [r.status for r in replies], asyncio.get_running_loop().time(), refused
@@ -269,7 +273,9 @@
                 FakeTarget(), Quarantine(), is_observe_only=lambda service: True
             )
             executor.admission.limit = 0
-            replies = await asyncio.gather(*(executor.execute(build_work()) for _ in range(5)))
+            replies = await asyncio.gather(
+                *(executor.execute(build_pending_call()) for _ in range(5))
+            )
             return replies[-1], sum(executor.stats.observed_refusals.values())
 
         reply, refused = self.run_paused(scenario())
--- a/tests/test_drain.py
+++ b/tests/test_drain.py
@@ -1,9 +1,9 @@
-import asyncio
 
+import asyncio
 from dunlinsaddle.calls.http import HttpRequest
 from dunlinsaddle.settings import Address
 from tests.clock import PausedClockTest
-from tests.fakes.pair import Pair, SleepingTarget
+from tests.fakes.pair import NodePair, SleepingTarget
 
 DRAIN_RUNS = 50
 
@@ -11,7 +11,7 @@
 class PairTest(PausedClockTest):
     def with_pair(self, use, slots=1000):
         async def scenario():
-            pair = await Pair(SleepingTarget(slots)).start()
+            pair = await NodePair(SleepingTarget(slots)).start()
             try:
                 return await use(pair)
             finally:
@@ -30,17 +30,17 @@
             calls = []
             drained = None
             for number in range(40):
-                node = pair.beside if number % 2 else pair.entry
+                node = pair.target_node if number % 2 else pair.entry_node
                 sleep = str(0.1 + number % 7)
                 calls.append(loop.create_task(pair.call(node, number, sleep=sleep)))
                 await asyncio.sleep(0.1)
                 if number == 20:
                     started_at = loop.time()
-                    drained = loop.create_task(pair.beside.drain())
+                    drained = loop.create_task(pair.target_node.drain())
                 if number == 30:
                     assert not drained.done()
             await drained
-            await pair.beside.stop()
+            await pair.target_node.stop()
             return started_at, pair.target, await asyncio.gather(*calls)
 
         return self.with_pair(use)
@@ -74,12 +74,12 @@
         # The target requests its drain and still announces itself every two seconds. Callers
         # are refused until it is replaced: an announcement with another address ends the drain.
         async def use(pair):
-            local = pair.beside.addresses.local
+            local = pair.target_node.addresses.local
             await pair.send(local, 'POST', '/-/drain')
             await asyncio.sleep(5)
-            refused = await pair.call(pair.beside)
-            pair.beside.target.announce('cut-orders', Address('127.0.0.1', 9001))
-            return refused.status, pair.beside.target.draining
+            refused = await pair.call(pair.target_node)
+            pair.target_node.target.announce('cut-orders', Address('127.0.0.1', 9001))
+            return refused.status, pair.target_node.target.draining
 
         self.assertEqual((503, False), self.with_pair(use))
 
@@ -87,12 +87,12 @@
         # The target drains, stops and restarts on the same port ten seconds later. The node has
         # detected meanwhile that it was gone, so the announcement counts as a new target.
         async def use(pair):
-            await pair.send(pair.beside.addresses.local, 'POST', '/-/drain')
-            pair.announcing.cancel()
+            await pair.send(pair.target_node.addresses.local, 'POST', '/-/drain')
+            pair.announce_task.cancel()
             await asyncio.sleep(10)
-            pair.announcing = asyncio.get_running_loop().create_task(pair.announce())
+            pair.announce_task = asyncio.get_running_loop().create_task(pair.announce())
             await asyncio.sleep(1)
-            return (await pair.call(pair.beside)).status
+            return (await pair.call(pair.target_node)).status
 
         self.assertEqual(200, self.with_pair(use))
 
@@ -101,12 +101,12 @@
         # runs on another node: closing now would cut the response.
         async def use(pair):
             loop = asyncio.get_running_loop()
-            call = loop.create_task(pair.call(pair.entry, 7, sleep='5'))
+            call = loop.create_task(pair.call(pair.entry_node, 7, sleep='5'))
             await asyncio.sleep(0.1)
             started_at = loop.time()
-            await pair.entry.drain()
+            await pair.entry_node.drain()
             elapsed = loop.time() - started_at
-            await pair.entry.stop()
+            await pair.entry_node.stop()
             return await call, elapsed
 
         response, elapsed = self.with_pair(use)
@@ -117,7 +117,7 @@
         async def use(pair):
             loop = asyncio.get_running_loop()
             started_at = loop.time()
-            await pair.entry.drain()
+            await pair.entry_node.drain()
             return loop.time() - started_at
 
         self.assertLess(self.with_pair(use), 1.1)
@@ -128,11 +128,15 @@
         # The caller closes its connection to the entry node. The connection to the target, two
         # hops away, is closed too, and the work done so far is counted as wasted.
         async def use(pair):
-            task = asyncio.get_running_loop().create_task(pair.call(pair.entry, 1, sleep='9'))
+            task = asyncio.get_running_loop().create_task(pair.call(pair.entry_node, 1, sleep='9'))
             await asyncio.sleep(0.5)
             task.cancel()
             await asyncio.sleep(0.1)
-            return pair.target.cancelled, pair.beside.stats.wasted, len(pair.beside.running)
+            return (
+                pair.target.cancelled,
+                pair.target_node.stats.wasted,
+                len(pair.target_node.running),
+            )
 
         self.assertEqual((1, 1, 0), self.with_pair(use))
 
@@ -142,7 +146,7 @@
         async def use(pair):
             loop = asyncio.get_running_loop()
             results = []
-            for node in (pair.entry, pair.beside):
+            for node in (pair.entry_node, pair.target_node):
                 started_at = loop.time()
                 response = await pair.call(node, 1, sleep='9', request_timeout='1')
                 results.append((response.status, round(loop.time() - started_at, 1)))
@@ -158,13 +162,13 @@
         # the queue is answered at its deadline, as not run.
         async def use(pair):
             loop = asyncio.get_running_loop()
-            address = pair.beside.addresses.callers
+            address = pair.target_node.addresses.callers
 
             async def send(number, timeout):
                 headers = {'number': str(number), 'sleep': '50', 'request_timeout': timeout}
                 return await pair.send(address, 'GET', '/cut-orders/orders/1', **headers)
 
-            slots = int(pair.beside.admission.limit)
+            slots = int(pair.target_node.admission.limit)
             running = [loop.create_task(send(n, '10')) for n in range(slots)]
             await asyncio.sleep(0.1)
             started_at = loop.time()
@@ -185,15 +189,15 @@
         # call, so it is answered as not run.
         async def use(pair):
             loop = asyncio.get_running_loop()
-            pair.announcing.cancel()
-            slots = int(pair.beside.admission.limit)
-            calls = (pair.call(pair.beside, n, sleep='9') for n in range(slots))
+            pair.announce_task.cancel()
+            slots = int(pair.target_node.admission.limit)
+            calls = (pair.call(pair.target_node, n, sleep='9') for n in range(slots))
             running = [loop.create_task(call) for call in calls]
             await asyncio.sleep(0.1)
-            response = await pair.call(pair.beside, slots)
+            response = await pair.call(pair.target_node, slots)
             await asyncio.gather(*running)
             ran = str(slots) in pair.target.started
-            return response, pair.beside.stats.faults, ran
+            return response, pair.target_node.stats.faults, ran
 
         response, faults, ran = self.with_pair(use)
         self.assertEqual(b'not-run', dict(response.headers)[b'dunlinsaddle-outcome'])
@@ -203,7 +207,7 @@
     def test_call_without_time_left_is_not_sent(self):
         async def use(pair):
             req = HttpRequest('GET', '/cut-orders/orders/1', [], b'', '')
-            await pair.client.send(pair.beside.addresses.callers, req, 0)
+            await pair.client.send(pair.target_node.addresses.callers, req, 0)
             await asyncio.sleep(0.1)
             return len(pair.target.started)
 
--- a/tests/test_failure_throttle.py
+++ b/tests/test_failure_throttle.py
@@ -4,7 +4,7 @@
 
 from dunlinsaddle.policy.failure_throttle import MIN_ADMITTED_SHARE, FailureThrottle
 from tests.mesh_case import MeshTest
-from tests.test_deep_load import ALIKE, ALIKE_SLOTS, ALL_SHED, shares
+from tests.test_deep_load import ALL_SHED, EQUAL_COST, EQUAL_COST_SLOTS, worst_shares
 
 
 class FailureThrottleTest(TestCase):
@@ -55,10 +55,10 @@
     def test_fewer_requests_start_in_vain_and_no_fewer_succeed(self):
         # All targets of the deep service refuse about half of their calls: without the throttle
         # nine in ten lookups fail after three hops of work.
-        throttled = shares(ALIKE, ALL_SHED, ALIKE_SLOTS)
-        unthrottled = shares(ALIKE, ALL_SHED, ALIKE_SLOTS, by_outcome=False)
-        self.assertLess(throttled['lookup'].spoilt, 0.8)
-        self.assertGreater(unthrottled['lookup'].spoilt, 0.85)
+        throttled = worst_shares(EQUAL_COST, ALL_SHED, EQUAL_COST_SLOTS)
+        unthrottled = worst_shares(EQUAL_COST, ALL_SHED, EQUAL_COST_SLOTS, throttle_failures=False)
+        self.assertLess(throttled['lookup'].wasted, 0.8)
+        self.assertGreater(unthrottled['lookup'].wasted, 0.85)
         self.assertGreaterEqual(throttled['lookup'].in_time, unthrottled['lookup'].in_time)
         self.assertGreater(throttled['order'].in_time, unthrottled['order'].in_time - 0.02)
 
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -1,14 +1,13 @@
+
 import asyncio
 import itertools
-from collections import Counter
-
 import msgspec
-from result import Err
-
+from collections import Counter
 from dunlinsaddle.calls.http import HttpRequest
 from dunlinsaddle.platform.store import Unavailable
 from dunlinsaddle.records.history import RECORDS, entries_after
 from dunlinsaddle.settings import Address
+from result import Err
 from tests.builders import OPERATOR_TOKEN, build_document
 from tests.clock import PausedClockTest
 from tests.fakes.site import Site, Target, seconds_until
@@ -39,7 +38,7 @@
         super().__init__()
         self.response = response
         self.pause_seconds = pause_seconds
-        self.face = self
+        self.listener = self
 
     async def listen(self, address: Address) -> None:
         await asyncio.start_server(self.accept, *address)
@@ -55,7 +54,7 @@
     def with_site(self, use):
         async def scenario():
             site = Site()
-            await site.write()
+            await site.write_record()
             try:
                 return await use(site)
             finally:
@@ -65,7 +64,7 @@
 
     async def start_all(self, site):
         for name, domain in DOMAINS.items():
-            await site.place(name, 'cut-orders', domain=domain)
+            await site.start_target(name, 'cut-orders', domain=domain)
         await asyncio.sleep(10)
 
     def test_partitioned_domain_keeps_serving_in_a_platform_outage_and_catches_up(self):
@@ -90,18 +89,18 @@
 
             loads = [asyncio.create_task(load(name)) for name in DOMAINS]
             await asyncio.sleep(3)
-            site.store.down, site.cut = True, lambda one, other: one != other
+            site.store.down, site.is_link_cut = True, lambda one, other: one != other
             await asyncio.sleep(20)
             site.store.down = False
             cut_off = site.nodes['bangor-1']
             cut_off.sync.store = cut_off.keeper.store = down = FakeStore()
             down.down = True
-            version = await site.write(deadline=3.0)
+            version = await site.write_record(deadline=3.0)
             await asyncio.sleep(5)
             updated = [
                 site.nodes[n].record_cache.version('cut-orders') for n in ('menai-1', 'menai-2')
             ]
-            site.cut = lambda one, other: False
+            site.is_link_cut = lambda one, other: False
             read = lambda: asyncio.sleep(0, cut_off.record_cache.version('cut-orders'))  # noqa: E731
             catch_up_seconds = await seconds_until(read, lambda current: current >= version)
             await asyncio.sleep(5)
@@ -124,7 +123,7 @@
             await self.start_all(site)
             vars(site.store).update(faults)
             seeds = str(site.nodes['bangor-1'].addresses.gossip)
-            await site.start('fresh', 'caernarfon-hall', seeds=seeds)
+            await site.start_node('fresh', 'caernarfon-hall', seeds=seeds)
             await asyncio.sleep(3)
             calls = ((LOOKUP, 'GET'), (RELEASE, 'POST'))
             return [(await site.call('fresh', *call)).status for call in calls]
@@ -140,7 +139,7 @@
         # all nodes end with the latest version.
         async def use(site):
             site.store = LossyStore()
-            version = await site.write()
+            version = await site.write_record()
             await self.start_all(site)
 
             async def operate(number):
@@ -182,10 +181,10 @@
         # The record arrives after the target has announced itself, and changes while it runs.
         # Admission must use the limits of the record in force, not those at the announcement.
         async def use(site):
-            await site.place('yard-1', 'slab-stock')
+            await site.start_target('yard-1', 'slab-stock')
             limits = []
             for connections in (300, 3):
-                await site.write('slab-stock', targets={'connections': connections})
+                await site.write_record('slab-stock', targets={'connections': connections})
                 await asyncio.sleep(2)
                 limits.append(site.nodes['yard-1'].admission.max_inflight)
             return limits
@@ -197,7 +196,7 @@
         # through several entry nodes at once and again later. Only the key prevents a second
         # run.
         async def use(site):
-            await site.write(mode='observe')
+            await site.write_record(mode='observe')
             await self.start_all(site)
             key = (await site.call('menai-1', '/-/keys/cut-orders', 'POST')).body
             key = msgspec.json.decode(key)['key']
@@ -214,7 +213,7 @@
         # deadline, but never a partial response. A release sent to that target has an unknown
         # outcome.
         async def use(site, response_bytes, pause):
-            await site.place('bad-1', 'cut-orders', SlowByteTarget(response_bytes, pause))
+            await site.start_target('bad-1', 'cut-orders', SlowByteTarget(response_bytes, pause))
             await self.start_all(site)
             results = Counter()
             for number in range(40):
--- a/tests/test_fleet_faults.py
+++ b/tests/test_fleet_faults.py
@@ -1,16 +1,15 @@
+
 import asyncio
 import itertools
-import signal
-from typing import NamedTuple
-
 import msgspec
-
+import signal
 from dunlinsaddle.calls.client import HttpClient
 from dunlinsaddle.calls.connection import Answered
 from dunlinsaddle.calls.http import HttpRequest
 from dunlinsaddle.calls.messages import NotSent
 from dunlinsaddle.settings import parse_address
 from tests.fleet_case import DOMAINS, FleetCase
+from typing import NamedTuple
 
 VICTIM = 'bangor-1'
 CALLERS = 2  #: at each entry
@@ -30,10 +29,10 @@
 class FleetFaultsTest(FleetCase):
     def setUp(self):
         super().setUp()
-        self.place_everywhere(50, RUN_SECONDS)
-        self.apply(VICTIM)
+        self.start_target_in_each_domain(50, RUN_SECONDS)
+        self.apply_record(VICTIM)
         for placed in self.fleet.deployments.values():
-            self.answered(placed)
+            self.wait_for_answer(placed)
 
     def under_load(self, fault, seconds=8.0):
         """Let callers press all entries while a fault happens; give how each call ended."""
--- a/tests/test_fuzz_faces.py
+++ b/tests/test_fuzz_faces.py
@@ -9,7 +9,7 @@
 from dunlinsaddle.records.changes import RECORDS
 from tests.builders import PEER_KEY, build_call, build_reply
 from tests.clock import PausedClockTest
-from tests.fakes.pair import Pair, SleepingTarget
+from tests.fakes.pair import NodePair, SleepingTarget
 
 INPUTS = 2000
 MEMORY_KILOBYTES = 32 << 10
@@ -77,8 +77,8 @@
             loop = asyncio.get_running_loop()
             loop.set_exception_handler(lambda loop, context: faults.append(context))
             target = SleepingTarget()
-            pair = await Pair(target).start()
-            node = pair.beside
+            pair = await NodePair(target).start()
+            node = pair.target_node
             before = (node.target.address, pair.store.objects[RECORDS, 'cut-orders'])
             rng = random.Random(20)
             base = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss
@@ -89,9 +89,9 @@
             after = (node.target.address, pair.store.objects[RECORDS, 'cut-orders'])
             left = [len(face.connections) for face in (node.callers_listener, node.local_listener)]
             # The other node compares records over a link of its own, which is to stay.
-            own = [link for link in pair.entry.links._links.values() if link.is_open]
+            own = [link for link in pair.entry_node.links._links.values() if link.is_open]
             left.append(len(node.peer_server.links) - len(own))
-            response = await pair.call(pair.entry, 3)
+            response = await pair.call(pair.entry_node, 3)
             await pair.stop()
             assert response is not None
             self.assertEqual(200, response.status)
--- a/tests/test_killer.py
+++ b/tests/test_killer.py
@@ -17,7 +17,7 @@
         await asyncio.sleep(0.05)
         if req.path.endswith('poison'):
             self.has_crashed = True
-            self.face.close()
+            self.listener.close()
         return HttpResponse(200, [], b'ok')
 
 
@@ -28,9 +28,9 @@
         # other, each resend reaches a target that is still running.
         async def scenario() -> tuple[int, int, int]:
             self.site = Site()
-            await self.site.write(retry_bound=5)
+            await self.site.write_record(retry_bound=5)
             for index in range(TARGETS):
-                await self.site.place(f'bangor-{index}', 'cut-orders', CrashingTarget())
+                await self.site.start_target(f'bangor-{index}', 'cut-orders', CrashingTarget())
             await asyncio.sleep(5)
             other_calls = [asyncio.create_task(self.call_other_path(n)) for n in range(100)]
             last_status = 0
--- a/tests/test_membership_processes.py
+++ b/tests/test_membership_processes.py
@@ -1,5 +1,5 @@
-import signal
 
+import signal
 from standins.fleet import TargetSpec
 from tests.fleet_case import DOMAINS, FleetCase
 
@@ -11,30 +11,30 @@
             self.fleet.deploy(
                 f'n{i}', TargetSpec('cut-orders', list(DOMAINS.values())[i % 3], 5, 0.01)
             )
-        self.within(10, lambda: self.seen() == {f'n{i}': 'alive' for i in range(4)})
+        self.wait_until(10, lambda: self.observe_targets() == {f'n{i}': 'alive' for i in range(4)})
 
     def test_a_killed_node_is_suspected_within_three_seconds(self):
         self.fleet.deployments['n3'].node.kill()
-        self.within(3.5, lambda: self.seen()['n3'] == 'suspect')
-        self.within(8, lambda: self.seen()['n3'] == 'dead')
+        self.wait_until(3.5, lambda: self.observe_targets()['n3'] == 'suspect')
+        self.wait_until(8, lambda: self.observe_targets()['n3'] == 'dead')
 
     def test_a_frozen_node_comes_back_when_it_goes_on(self):
         # The node stands still for four seconds, long enough to be suspected everywhere.
         node = self.fleet.deployments['n3'].node
         node.kill(signal.SIGSTOP)
-        self.within(3.5, lambda: self.seen()['n3'] == 'suspect')
+        self.wait_until(3.5, lambda: self.observe_targets()['n3'] == 'suspect')
         node.kill(signal.SIGCONT)
-        self.within(5, lambda: set(self.seen().values()) == {'alive'})
-        self.within(5, lambda: set(self.seen('n3').values()) == {'alive'})
+        self.wait_until(5, lambda: set(self.observe_targets().values()) == {'alive'})
+        self.wait_until(5, lambda: set(self.observe_targets('n3').values()) == {'alive'})
 
     def test_a_stopped_node_leaves_at_once(self):
         self.fleet.deployments['n3'].node.kill(signal.SIGTERM)
-        self.within(2, lambda: self.seen()['n3'] in ('draining', 'left'))
-        self.within(2, lambda: self.seen()['n3'] == 'left')
+        self.wait_until(2, lambda: self.observe_targets()['n3'] in ('draining', 'left'))
+        self.wait_until(2, lambda: self.observe_targets()['n3'] == 'left')
 
     def test_the_node_withdraws_the_service_of_a_killed_target(self):
         # The node is well and says so; calls sent there would all be refused. The target's
         # announcements stop and its port refuses, so the node withdraws its service.
         self.fleet.deployments['n3'].target.kill()
-        self.within(3.0, lambda: self.seen(field='service')['n3'] == '')
-        self.assertEqual('alive', self.seen()['n3'])
+        self.wait_until(3.0, lambda: self.observe_targets(field='service')['n3'] == '')
+        self.assertEqual('alive', self.observe_targets()['n3'])
--- a/tests/test_node_paused.py
+++ b/tests/test_node_paused.py
@@ -1,5 +1,5 @@
-import asyncio
 
+import asyncio
 from dunlinsaddle.calls.client import HttpClient
 from dunlinsaddle.calls.connection import Answered
 from dunlinsaddle.calls.http import HttpRequest
@@ -7,7 +7,7 @@
 from dunlinsaddle.records.changes import RECORDS
 from tests.builders import build_document, build_environment, build_logger, build_settings
 from tests.clock import PausedClockTest
-from tests.fakes.pair import Pair, SleepingTarget
+from tests.fakes.pair import NodePair, SleepingTarget
 from tests.fakes.store import FakeStore
 
 
@@ -47,11 +47,13 @@
         # paused clock the nodes take no time themselves, so any added time is queue or target
         # time that was not subtracted.
         async def scenario():
-            pair = await Pair(SleepingTarget(), targets={'connections': 1}).start()
-            await asyncio.gather(*(pair.call(pair.entry, n, sleep='0.3') for n in range(2)))
-            await pair.call(pair.beside, 3)
-            totals = [(n.stats.answered, n.stats.added_time) for n in (pair.entry, pair.beside)]
-            queued = pair.beside.stats.queue_time_buckets
+            pair = await NodePair(SleepingTarget(), targets={'connections': 1}).start()
+            await asyncio.gather(*(pair.call(pair.entry_node, n, sleep='0.3') for n in range(2)))
+            await pair.call(pair.target_node, 3)
+            totals = [
+                (n.stats.answered, n.stats.added_time) for n in (pair.entry_node, pair.target_node)
+            ]
+            queued = pair.target_node.stats.queue_time_buckets
             await pair.stop()
             return totals, sum(queued), queued[8]
 
--- a/tests/test_once_processes.py
+++ b/tests/test_once_processes.py
@@ -1,34 +1,33 @@
+
 import asyncio
+import msgspec
 import signal
 import socket
 import time
 from collections import Counter
 from collections.abc import Awaitable, Callable, Collection
-from functools import partial
-from itertools import pairwise
-from random import Random
-
-import msgspec
-from testtools.content import text_content
-
 from dunlinsaddle.calls.http import HttpResponse
 from dunlinsaddle.policy.keys import RANGE_COUNT, generate_key
 from dunlinsaddle.policy.ownership import decode_range_map
 from dunlinsaddle.settings import parse_address
+from functools import partial
+from itertools import pairwise
+from random import Random
 from standins.caller import Caller
 from standins.fleet import TargetSpec
 from tests.fleet_case import DOMAINS, FleetCase
+from testtools.content import text_content
 
 RUN_SECONDS = 0.6
-PATIENCE = 15.0
+TIMEOUT_SECONDS = 15.0
 RELEASE = '/cut-orders/orders/17/release'
 
 
 class OnceProcessesTest(FleetCase):
     def setUp(self):
         super().setUp()
-        self.place_everywhere(50, RUN_SECONDS)
-        self.apply('bangor-1')
+        self.start_target_in_each_domain(50, RUN_SECONDS)
+        self.apply_record('bangor-1')
         self.caller = Caller()
         self.rng = Random(3)
 
@@ -58,16 +57,16 @@
         ]
 
     async def ranges_shared(self, names: Collection[str]) -> None:
-        deadline = time.monotonic() + PATIENCE
+        deadline = time.monotonic() + TIMEOUT_SECONDS
         while time.monotonic() < deadline:
             owners = await self.owners()
             if len(owners) == RANGE_COUNT and set(owners) == set(names):
                 return
             await asyncio.sleep(0.2)
-        raise AssertionError(f'ranges after {PATIENCE} s: {Counter(owners)}')
+        raise AssertionError(f'ranges after {TIMEOUT_SECONDS} s: {Counter(owners)}')
 
     async def ranges_left_by(self, name: str) -> None:
-        deadline = time.monotonic() + PATIENCE
+        deadline = time.monotonic() + TIMEOUT_SECONDS
         while name in await self.owners():
             self.assertLess(time.monotonic(), deadline, f'{name} still owns ranges')
             await asyncio.sleep(0.2)
@@ -139,7 +138,7 @@
         self.run_scenario(scenario, {*DOMAINS, 'bangor-2'})
 
     async def former_run_closed(self, name: str) -> None:
-        deadline = time.monotonic() + PATIENCE
+        deadline = time.monotonic() + TIMEOUT_SECONDS
         while time.monotonic() < deadline:
             stored = await self.fetch(self.fleet.platform_address, '/objects/ranges/cut-orders')
             rows = decode_range_map(stored['specification']).ranges
--- a/tests/test_signals.py
+++ b/tests/test_signals.py
@@ -1,7 +1,7 @@
+
 import asyncio
 import signal
 import time
-
 from dunlinsaddle.exit_status import ExitStatus
 from dunlinsaddle.settings import parse_address
 from standins.caller import Caller
@@ -16,8 +16,8 @@
         super().setUp()
         spec = TargetSpec('cut-orders', 'bangor-hall', 9, SECONDS)
         self.placed = self.fleet.deploy('bangor-1', spec)
-        self.apply('bangor-1')
-        self.answered(self.placed)
+        self.apply_record('bangor-1')
+        self.wait_for_answer(self.placed)
 
     def signalled(self, *signals):
         """Send signals while a call runs; give its status, the exit status and the time."""
--- a/tests/test_whole_path.py
+++ b/tests/test_whole_path.py
@@ -1,5 +1,5 @@
-import msgspec
 
+import msgspec
 from standins.fleet import TargetSpec
 from tests.fleet_case import FleetCase
 
@@ -19,9 +19,9 @@
             self.fleet.deploy(name, spec)
         entry = self.fleet.deployments['menai-1']
         for service in ('cut-orders', 'slab-stock'):
-            self.apply(entry.name, service)
-        self.answered(entry)
+            self.apply_record(entry.name, service)
+        self.wait_for_answer(entry)
         self.fleet.deployments['bangor-1'].node.kill()
-        bodies = [self.answered(entry) for _ in range(10)]
+        bodies = [self.wait_for_answer(entry) for _ in range(10)]
         names = {msgspec.json.decode(body)['target'] for body in bodies}
         self.assertEqual({'caernarfon-1'}, names)
