--- a/tests/test_drain.py
+++ b/tests/test_drain.py
@@ -1,5 +1,5 @@
-
 import asyncio
+
 from dunlinsaddle.calls.http import HttpRequest
 from dunlinsaddle.settings import Address
 from tests.clock import PausedClockTest
--- a/tests/test_rated_load.py
+++ b/tests/test_rated_load.py
@@ -1,7 +1,9 @@
 """Load on a service some of whose targets name a rate: who is turned away, and where first."""
+
+from testtools import TestCase
+
 from standins.soak_says import allowed_arrivals, max_arrivals_in_window
 from tests.fakes.rated_load import OBJECTIVE_SECONDS, RatedLoad
-from testtools import TestCase
 
 FLEETS = (14, 82, 960)  #: entries
 RUN_SECONDS = 30.0
--- a/tests/test_restored_store.py
+++ b/tests/test_restored_store.py
@@ -1,11 +1,14 @@
 """The store is restored from an older copy, so it assigns the same revisions again."""
+
 import asyncio
+
 import msgspec
+
 from dunlinsaddle.calls.http import HttpRequest
 from dunlinsaddle.platform.store import ABSENT, Conflict, StorePosition, version_to_position
 from standins.platform import Platform
 from tests.builders import build_configuration, build_document, build_record_sync, running_follower
-from tests.mesh_case import MeshTest, SETTLE_SECONDS
+from tests.mesh_case import SETTLE_SECONDS, MeshTest
 from tests.store_case import StoreClientTestCase
 
 EFFECTIVE_SECONDS = 2.0  #: within which a change must take effect
