--- a/dunlinsaddle/admin.py
+++ b/dunlinsaddle/admin.py
@@ -27,7 +27,7 @@
     validate_change,
 )
 from dunlinsaddle.records.diff import changed_fields
-from dunlinsaddle.records.history import RECORDS, read_audit, read_history
+from dunlinsaddle.records.history import RECORD_KIND, read_audit, read_history
 from dunlinsaddle.records.schema import encode_record
 
 MAX_CHANGE_BYTES = 65_536
@@ -151,7 +151,7 @@
 
     async def _read_record(self, service: str) -> HttpResponse:
         """Return the record from the platform, or this node's copy if it is unreachable."""
-        match await self.node.store.get(RECORDS, service):
+        match await self.node.store.get(RECORD_KIND, service):
             case Ok(None):
                 return _unknown_service(service)
             case Ok(stored):
@@ -197,7 +197,7 @@
                 pass
             case Err(failure):
                 return failure_response(failure)
-        match await self.node.store.get(RECORDS, service):
+        match await self.node.store.get(RECORD_KIND, service):
             case Ok(stored):
                 rejection = validate_change(change, stored, self.node.record_cache.newest_schema)
                 if rejection is not None:
@@ -217,7 +217,7 @@
                 pass
             case Err(failure):
                 return failure_response(failure)
-        match await self.node.store.get(RECORDS, service):
+        match await self.node.store.get(RECORD_KIND, service):
             case Ok(stored):
                 stored_doc = entry_from_object(stored).doc if stored else None
                 fields = changed_fields(stored_doc, doc)
@@ -290,9 +290,9 @@
         responses_by_domain.setdefault(own_domain, [])
         rows = []
         for domain, responses in sorted(responses_by_domain.items()):
-            revisions = [r.upto for r in responses if r is not None]
+            revisions = [r.up_to_version for r in responses if r is not None]
             if domain == own_domain:
-                revisions.append(self.node.record_cache.complete_revision)
+                revisions.append(self.node.record_cache.complete_version)
             lowest = min(revisions, default=0)
             versions = {
                 e.service: e.version
@@ -330,10 +330,10 @@
 
 def _rejection_response(rejected: Rejected) -> HttpResponse:
     response = failure_response(rejected.failure)
-    if rejected.clash is None:
+    if rejected.conflict is None:
         return response
     problem = msgspec.to_builtins(problem_document(rejected.failure))
-    body = msgspec.json.encode({**problem, 'conflict': rejected.clash._asdict()})
+    body = msgspec.json.encode({**problem, 'conflict': rejected.conflict._asdict()})
     return response._replace(body=body)
 
 
--- a/dunlinsaddle/calls/messages.py
+++ b/dunlinsaddle/calls/messages.py
@@ -162,34 +162,35 @@
 
 
 class RecordsRequest(msgspec.Struct, tag='ra', array_like=True):
-    """Requests the records changed after ``since``; the sender knows all changes up to it."""
+    """Requests the records changed after ``since_version``, up to which the sender is complete."""
 
     id: int
-    since: int
+    since_version: int
 
 
 class RecordsResponse(msgspec.Struct, tag='rr', array_like=True):
-    """All changes after the requested revision up to ``upto``; ``has_more`` if others follow.
+    """All changes after the requested version and up to ``up_to_version``.
 
+    ``has_more`` is set if the responding node has further changes.
     ``age_seconds`` is the time since the responding node last knew that it was up to date.
     """
 
     id: int
-    upto: int
+    up_to_version: int
     age_seconds: float
     has_more: bool
     entries: list[RecordEntry]
 
 
 class RecordsPush(msgspec.Struct, tag='rp', array_like=True):
-    """All changes after ``since`` up to ``upto``, sent unrequested by a node of ``domain``.
+    """All changes after one version and up to another, sent unrequested by a node of ``domain``.
 
     ``tree_root`` is the instance at the root of the broadcast tree over that domain, empty if
     the push does not follow a tree.
     """
 
-    since: int
-    upto: int
+    since_version: int
+    up_to_version: int
     domain: str
     tree_root: str
     entries: list[RecordEntry]
--- a/dunlinsaddle/daemon.py
+++ b/dunlinsaddle/daemon.py
@@ -16,9 +16,9 @@
     """Run the daemon with these arguments and return its exit status."""
     node_file = env.environ.get(env_name('node-file'))
     if node_file and not argv:
-        from dunlinsaddle.mesh import daemon as mesh
+        from dunlinsaddle.mesh import daemon as mesh_daemon
 
-        return mesh.run(env, node_file)
+        return mesh_daemon.run(env, node_file)
     from dunlinsaddle.serve import serve
 
     return serve(argv, env)
--- a/dunlinsaddle/key_ownership/__init__.py
+++ b/dunlinsaddle/key_ownership/__init__.py
@@ -1,1 +1,1 @@
-"""Who may run which idempotency keys: kept in the platform, ahead of their use."""
+"""Ownership of idempotency keys, stored at the platform: which node may run which keys."""
--- a/dunlinsaddle/key_ownership/claims.py
+++ b/dunlinsaddle/key_ownership/claims.py
@@ -23,7 +23,7 @@
 async def claim_key(
     store: ObjectStore, service: str, key: OpaqueKey, me: Owner, clock: Callable[[], int]
 ) -> Claim | None:
-    """Claim a key and return its claim, which may be another owner's; None if it is unknown.
+    """Claim a key and return its claim, which may be another owner's; None if the owner is unknown.
 
     If the answer to the write is lost, the claim is read back. A claim of this node that was read
     is permanent. If nothing can be read, the key must not run, because another node may have
--- a/dunlinsaddle/key_ownership/host_identity.py
+++ b/dunlinsaddle/key_ownership/host_identity.py
@@ -11,7 +11,7 @@
 
 
 def host_identity(peers: Address) -> str:
-    """Return an identity of the peer listener's host; empty if it would prove nothing.
+    """Return an identity of the peer listener's host; empty if the host cannot be identified.
 
     The address alone is not enough. A loopback address exists on each machine, and an address can
     move to another machine while the former one is still running, partitioned but with callers of
--- a/dunlinsaddle/key_ownership/range_manager.py
+++ b/dunlinsaddle/key_ownership/range_manager.py
@@ -23,10 +23,11 @@
 )
 
 RANGE_MAP_KIND = 'ranges'
-REREAD_SECONDS = 60.0
+REREAD_SECONDS = 60.0  #: after a read attempt, until the map is read again
+#: Age from which a cached map is read again while a serving node is missing in it.
 NEWCOMER_REREAD_SECONDS = 5.0
 RETRY_PAUSE_SECONDS = (5.0, 10.0)  #: random pause after a failed read or write
-OUTAGE_MEMORY_SECONDS = 1.0
+OUTAGE_MEMORY_SECONDS = 1.0  #: after a failed read, further reads fail at once for this long
 MAX_WRITE_ATTEMPTS = 4
 
 
@@ -49,10 +50,13 @@
 
 
 class _Fence(NamedTuple):
-    """An interval of this node that a write with unknown outcome may have ended at ``cut``."""
+    """The end of one of this node's intervals, set by a write that may not have taken effect.
 
-    cut: int
-    version: int  #: the expected version of that conditional write
+    This node accepts no key of the interval that was created at ``closing_time`` or later.
+    """
+
+    closing_time: int
+    expected_version: int  #: of that conditional write
 
 
 class MonotonicWallClock:
@@ -65,7 +69,7 @@
     def __init__(self, wall_clock: Callable[[], float]) -> None:
         self.wall_clock = wall_clock
         self._started_at: float | None = None
-        self._wall = 0.0
+        self._wall_at_start = 0.0
 
     def now(self) -> int:
         """Return the time in Unix milliseconds."""
@@ -77,8 +81,11 @@
 
     def _offset(self) -> float:
         if self._started_at is None:
-            self._started_at, self._wall = asyncio.get_running_loop().time(), self.wall_clock()
-        return self._wall - self._started_at
+            self._started_at, self._wall_at_start = (
+                asyncio.get_running_loop().time(),
+                self.wall_clock(),
+            )
+        return self._wall_at_start - self._started_at
 
 
 class RangeManager:
@@ -144,7 +151,7 @@
             return False
         number = range_number(service, key)
         fence = self._fences.get((service, number))
-        if fence is not None and key.birth >= fence.cut:
+        if fence is not None and key.birth >= fence.closing_time:
             return False
         newest_births = self._newest_accepted.setdefault(service, {})
         newest_births[number] = max(newest_births.get(number, 0), key.birth)
@@ -189,7 +196,7 @@
             return False
 
     async def tick(self, service: str, serving: Sequence[str], *, leaving: bool = False) -> None:
-        """Do the work that is due for the ranges of the local target's service."""
+        """Perform the changes that are due for the ranges of the local target's service."""
         if asyncio.get_running_loop().time() < self._paused_until and not leaving:
             return
         if self._needs_read(service, serving) and not await self.refresh(service):
@@ -209,8 +216,8 @@
             plan = plan_ranges(service, cached.map, context)
             if plan is None:
                 return
-            for number, cut in plan.closing_times.items():
-                self._fence(service, number, _Fence(cut, cached.version))
+            for number, closing_time in plan.closing_times.items():
+                self._add_fence(service, number, _Fence(closing_time, cached.version))
             if await self._write(service, plan.range_map, cached.version):
                 return
 
@@ -222,7 +229,7 @@
         age = asyncio.get_running_loop().time() - cached.read_at
         return newcomers and age > NEWCOMER_REREAD_SECONDS
 
-    def _fence(self, service: str, number: int, fence: _Fence) -> None:
+    def _add_fence(self, service: str, number: int, fence: _Fence) -> None:
         """Stop accepting newer keys before the write that ends the interval is sent.
 
         If this happened only after the answer, the next owner could run a key that this node still
@@ -230,12 +237,12 @@
         kept.
         """
         earlier = self._fences.get((service, number))
-        if earlier is None or fence.cut < earlier.cut:
+        if earlier is None or fence.closing_time < earlier.closing_time:
             self._fences[service, number] = fence
 
     def _has_uncertain_write(self, service: str, cached: _CachedMap) -> bool:
         return any(
-            fence.version >= cached.version
+            fence.expected_version >= cached.version
             for (name, _), fence in self._fences.items()
             if name == service
         )
@@ -264,7 +271,7 @@
         )
 
     def _cache_map(self, service: str, stored: StoredObject | None) -> bool:
-        """Cache a map that was read; return False if it does not show who owns what."""
+        """Cache a map that was read; return False if it does not show the owners."""
         now = asyncio.get_running_loop().time()
         cached = self._cached.get(service) or _CachedMap(ABSENT, RangeMap(), now)
         self._cached[service] = cached._replace(read_at=now)
@@ -279,6 +286,6 @@
             return False
         self._cached[service] = _CachedMap(stored.version, range_map, now)
         for fenced_range, fence in list(self._fences.items()):
-            if fenced_range[0] == service and fence.version < stored.version:
+            if fenced_range[0] == service and fence.expected_version < stored.version:
                 del self._fences[fenced_range]
         return True
--- a/dunlinsaddle/loops.py
+++ b/dunlinsaddle/loops.py
@@ -6,7 +6,7 @@
 
 
 class LoopBound:
-    """An object that belongs to one event loop and caches it.
+    """Base class of objects that run on one event loop; caches that loop.
 
     ``asyncio.get_running_loop`` makes a system call for the process id each time, to detect a
     fork. Without the cache, a call through two nodes makes nineteen of them, more than all its
--- a/dunlinsaddle/membership/agent.py
+++ b/dunlinsaddle/membership/agent.py
@@ -51,7 +51,7 @@
         return self._transport.address
 
     def start(self, me: Member) -> None:
-        """Start to take part in the gossip as ``me``."""
+        """Join the gossip as ``me``."""
         self.gossip.start(self._now(), me)
         self._started = True
 
--- a/dunlinsaddle/membership/coordinators.py
+++ b/dunlinsaddle/membership/coordinators.py
@@ -29,16 +29,16 @@
         self.view = view
         self.domain = domain
         self._version = -1
-        self._chosen: list[Member] = []
+        self._selected: list[Member] = []
 
     def members(self) -> list[Member]:
         """Return the selected members."""
         if self._version != self.view.version:
             live = rank_by_hash(self.view, self.domain)
             eligible = [m for m in live if m.state is State.ALIVE] or live
-            self._chosen = eligible[:COORDINATORS_PER_DOMAIN]
+            self._selected = eligible[:COORDINATORS_PER_DOMAIN]
             self._version = self.view.version
-        return self._chosen
+        return self._selected
 
     def includes(self, instance: str) -> bool:
         """Return whether a node is one of the watchers."""
--- a/dunlinsaddle/membership/liveness.py
+++ b/dunlinsaddle/membership/liveness.py
@@ -30,7 +30,7 @@
 
     def __init__(self) -> None:
         self._last_announcement: float | None = None
-        self._consecutive = 0
+        self._consecutive_announcements = 0
 
     def record_announcement(self, now: float) -> None:
         """Record an announcement."""
@@ -38,15 +38,15 @@
             self._last_announcement is not None
             and now - self._last_announcement < GONE_AFTER_SECONDS
         ):
-            self._consecutive += 1
+            self._consecutive_announcements += 1
         else:
-            self._consecutive = 0
+            self._consecutive_announcements = 0
         self._last_announcement = now
 
     def heartbeat_status(self, now: float) -> HeartbeatStatus:
         """Classify the time since the last announcement; FRESH before the first."""
         silence = 0.0 if self._last_announcement is None else now - self._last_announcement
-        if silence >= GONE_AFTER_SECONDS and self._consecutive >= MIN_REPEATS:
+        if silence >= GONE_AFTER_SECONDS and self._consecutive_announcements >= MIN_REPEATS:
             return HeartbeatStatus.GONE
         return HeartbeatStatus.LATE if silence >= LATE_AFTER_SECONDS else HeartbeatStatus.FRESH
 
--- a/dunlinsaddle/membership/protocol.py
+++ b/dunlinsaddle/membership/protocol.py
@@ -231,9 +231,9 @@
 
     def _probe_returned(self, returned: Member) -> None:
         """Probe a member that was considered dead, to learn what it believes of this node."""
-        # After a partition it may consider this node dead as well, and only a node of its side
-        # can report that. If a single member returns, a few nodes of the whole fleet probe it; if
-        # a failure domain returns, each node probes a few of its members.
+        # After a partition it may consider this node dead as well, and only nodes on its side of
+        # the partition can report that. If a single member returns, a few nodes of the whole fleet
+        # probe it; if a failure domain returns, each node probes a few of its members.
         if self.rng.random() * (len(self.probe_scheduler) + 1) < RETURN_PROBE_COUNT:
             self.probe_scheduler.prioritize(returned.instance)
 
@@ -242,8 +242,8 @@
         if (update.incarnation, update.state) <= own or self.me.state == State.LEFT:
             return
         # Either a former run of this node had a clock that was ahead, or others suspect it. A
-        # higher incarnation resolves both. Without the limit, one absurd incarnation would leave
-        # no higher one to refute with.
+        # higher incarnation resolves both. Without the limit, one absurdly high incarnation would
+        # make all further refutations impossible.
         if update.incarnation - self.me.incarnation > MAX_INCARNATION_STEP:
             return
         # Members that know this node need no details, which saves bytes when all members refute
--- a/dunlinsaddle/membership/roster.py
+++ b/dunlinsaddle/membership/roster.py
@@ -18,7 +18,7 @@
 from dunlinsaddle.platform.store import ABSENT, ObjectStore
 from dunlinsaddle.settings import parse_address
 
-ROSTERS = 'rosters'
+ROSTER_KIND = 'rosters'
 MIN_LIVE_LISTED = 3  #: live members that a roster must list: one remains when any two are lost
 MAX_LISTED = 8  #: members that a roster lists; a new node needs one that answers
 INITIAL_PERIOD_SECONDS = 0.5  #: period of a node that knows no others, doubled with each pass
@@ -93,7 +93,7 @@
 
     async def read(self) -> dict[str, StoredRoster] | None:
         """Return the roster of each failure domain, or None if the store is unavailable."""
-        match await self.store.list(ROSTERS):
+        match await self.store.list(ROSTER_KIND):
             case Ok(listing):
                 return {o.name: StoredRoster(o.version, _members(o.value)) for o in listing.objects}
             case _:
@@ -103,7 +103,7 @@
         """Replace the roster that was read; return whether the write was confirmed."""
         value = {'members': [roster_entry_of(m) for m in members]}
         expected = stored.version if stored else ABSENT
-        match await self.store.put(ROSTERS, self.domain, value, expected):
+        match await self.store.put(ROSTER_KIND, self.domain, value, expected):
             case Ok(_):
                 return True
             case _:
--- a/dunlinsaddle/membership/suspicion.py
+++ b/dunlinsaddle/membership/suspicion.py
@@ -8,19 +8,19 @@
 
     def __init__(self, times: GossipTimes) -> None:
         self.times = times
-        self._since: dict[str, float] = {}
+        self._suspected_since: dict[str, float] = {}
 
     def start(self, now: float, instance: str) -> None:
         """Start the timer of a member, if it does not run yet."""
-        self._since.setdefault(instance, now)
+        self._suspected_since.setdefault(instance, now)
 
     def remove(self, instance: str) -> None:
         """Stop the timer of a member."""
-        self._since.pop(instance, None)
+        self._suspected_since.pop(instance, None)
 
     def restart_all(self, now: float) -> None:
         """Restart the timers of all suspected members."""
-        self._since = dict.fromkeys(self._since, now)
+        self._suspected_since = dict.fromkeys(self._suspected_since, now)
 
     def pop_expired(self, now: float) -> list[str]:
         """Remove and return the members whose timer has expired.
@@ -28,9 +28,16 @@
         The timeout grows with the number of suspected members: if there are many, the network has
         probably failed, and their refutations take longer to get through the byte budget.
         """
-        patience = self.times.suspicion_timeout + len(self._since) * self.times.suspicion_per_member
-        limit = min(patience, self.times.max_suspicion_timeout)
-        found = [instance for instance, since in self._since.items() if now - since >= limit]
-        for instance in found:
-            del self._since[instance]
-        return found
+        uncapped_timeout = (
+            self.times.suspicion_timeout
+            + len(self._suspected_since) * self.times.suspicion_per_member
+        )
+        timeout = min(uncapped_timeout, self.times.max_suspicion_timeout)
+        expired = [
+            instance
+            for instance, suspected_since in self._suspected_since.items()
+            if now - suspected_since >= timeout
+        ]
+        for instance in expired:
+            del self._suspected_since[instance]
+        return expired
--- a/dunlinsaddle/mesh/ingress.py
+++ b/dunlinsaddle/mesh/ingress.py
@@ -77,32 +77,32 @@
 
     async def handle(self, req: HttpRequest) -> HttpResponse:
         """Route one request and return its response."""
-        terms = read_caller_headers(req)
-        key_status_known = await self.authenticator.wait_for_key_status(terms)
+        caller_headers = read_caller_headers(req)
+        key_status_known = await self.authenticator.wait_for_key_status(caller_headers)
         table = self.follower.table
         if table is None:
             return _refusal_response(
-                terms, ErrorKind.NO_CONFIGURATION, NO_CONFIGURATION_RETRY_SECONDS
+                caller_headers, ErrorKind.NO_CONFIGURATION, NO_CONFIGURATION_RETRY_SECONDS
             )
         route = table.find_route(req.header(b'host'), req.path)
         version = table.configuration.version
         if route is None:
             host = req.header(b'host')
-            self.decisions.log_unrouted(terms.request_id, host, req.path, version)
-            return _refusal_response(terms, ErrorKind.NO_ROUTE)
+            self.decisions.log_unrouted(caller_headers.request_id, host, req.path, version)
+            return _refusal_response(caller_headers, ErrorKind.NO_ROUTE)
         loop = self.loop
         started_at = loop.time()
-        parent = self.running.find_parent(terms.request_id)
+        parent = self.running.find_parent(caller_headers.request_id)
         match self.authenticator.authenticate(
-            terms, table, route, parent, key_status_known=key_status_known
+            caller_headers, table, route, parent, key_status_known=key_status_known
         ):
             case Err(failure):
-                self._log_denied(terms.request_id, route.name, failure)
-                return _failure_response(terms, failure)
+                self._log_denied(caller_headers.request_id, route.name, failure)
+                return _failure_response(caller_headers, failure)
             case Ok(holder):
                 requires_key = table.requires_keys
                 call = self._build_call(
-                    req, terms, route, parent, holder, requires_key=requires_key
+                    req, caller_headers, route, parent, holder, requires_key=requires_key
                 )
         if call.ctx.is_resend:
             self.budget.record_repeat(started_at, call.ctx.service)
@@ -121,7 +121,7 @@
         elapsed = loop.time() - started_at
         self.decisions.log_completed(call, reply, elapsed, version)
         self.on_end(call, reply, elapsed)
-        return build_caller_response(reply, terms.request_id)
+        return build_caller_response(reply, caller_headers.request_id)
 
     async def _dispatch(
         self, call: PendingCall, parent: RunningCall | None, holder: CallerOrganisation
@@ -166,7 +166,7 @@
     def _build_call(
         self,
         req: HttpRequest,
-        terms: CallerHeaders,
+        caller_headers: CallerHeaders,
         route: Route,
         parent: RunningCall | None,
         holder: CallerOrganisation,
@@ -175,19 +175,21 @@
     ) -> PendingCall:
         now = self.now()
         time_left = (
-            DEFAULT_TIMEOUT_SECONDS if terms.remaining_seconds is None else terms.remaining_seconds
+            DEFAULT_TIMEOUT_SECONDS
+            if caller_headers.remaining_seconds is None
+            else caller_headers.remaining_seconds
         )
         timeout = math.inf if route.timeout is None else route.timeout
         service = choose_service(route.weighted_services, self.rng)
-        request_id = terms.request_id or str(uuid6.uuid7())
+        request_id = caller_headers.request_id or str(uuid6.uuid7())
         if parent is None:
             priority = priority_of(effective_rank(route, holder), request_id)
             priority = self.costs.adjust_priority(now, route.name, priority)
         else:
             # A call has the priority of its parent request, as the ingress compares parent requests
-            # with the level that the called service admits. If calls had a rank of their own, a
-            # service that is full from rank 1 on would make the ingress refuse all lookups of
-            # rank 2.
+            # with the level that the called service admits. If calls had a rank of their own and a
+            # service admitted only calls below rank 1, the ingress would refuse all parent
+            # requests of rank 2.
             priority = parent.call.ctx.priority
         ctx = CallContext(
             request_id=request_id,
@@ -231,10 +233,10 @@
 
 
 def _refusal_response(
-    terms: CallerHeaders, kind: ErrorKind, retry_after: float = 0.0
+    caller_headers: CallerHeaders, kind: ErrorKind, retry_after: float = 0.0
 ) -> HttpResponse:
-    return _failure_response(terms, Failure(kind, '', retry_after))
+    return _failure_response(caller_headers, Failure(kind, '', retry_after))
 
 
-def _failure_response(terms: CallerHeaders, failure: Failure) -> HttpResponse:
-    return build_caller_response(refusal(failure), terms.request_id)
+def _failure_response(caller_headers: CallerHeaders, failure: Failure) -> HttpResponse:
+    return build_caller_response(refusal(failure), caller_headers.request_id)
--- a/dunlinsaddle/mesh/metrics.py
+++ b/dunlinsaddle/mesh/metrics.py
@@ -132,7 +132,7 @@
         metrics.counter(
             'dunlinsaddle.platform_calls',
             '{call}',
-            'Calls to the platform, each watch as one.',
+            'Calls to the platform; a watch counts as one call.',
             lambda: [(node.store.calls, {})],
         )
         metrics.counter(
--- a/dunlinsaddle/mesh/node.py
+++ b/dunlinsaddle/mesh/node.py
@@ -133,7 +133,9 @@
         limits = LinkLimits(max_body_bytes=MAX_BODY_BYTES)
         self.agent = GossipAgent(self.view, PEER_KEY, self._new_rng(), times=GOSSIP_TIMES)
         self.links = PeerLinks(PEER_KEY, cfg.instance, limits)
-        self.peer_server = PeerServer(PEER_KEY, self._serve_peer, limits, self._on_peer_fault)
+        self.peer_server = PeerServer(
+            PEER_KEY, self._serve_peer, limits, self._handle_peer_exception
+        )
         self.configuration_lease = ConfigurationLease(
             self.env.boottime_clock, cfg.limits.revocation_seconds
         )
@@ -231,14 +233,18 @@
         )
         limits = HttpLimits(max_body_bytes=MAX_BODY_BYTES)
         self.callers_listener = HttpListener(
-            self.ingress.handle, limits, self._on_fault, pipeline=MAX_PIPELINED_REQUESTS
+            self.ingress.handle, limits, self._handle_exception, pipeline=MAX_PIPELINED_REQUESTS
         )
         self.heartbeat_listener = HttpListener(
-            self.heartbeat_endpoint.handle, HttpLimits(), self._on_fault
+            self.heartbeat_endpoint.handle, HttpLimits(), self._handle_exception
+        )
+        self.readiness_listener = HttpListener(
+            self._handle_readiness, HttpLimits(), self._handle_exception
         )
-        self.readiness_listener = HttpListener(self._handle_readiness, HttpLimits(), self._on_fault)
         self.metrics: MeshMetrics | None = None  #: created on the first request for metrics
-        self.metrics_listener = HttpListener(self._handle_metrics, HttpLimits(), self._on_fault)
+        self.metrics_listener = HttpListener(
+            self._handle_metrics, HttpLimits(), self._handle_exception
+        )
 
     async def start(self) -> ListenAddresses:
         """Open all listeners and start the tasks. Raises OSError if an address is in use."""
@@ -261,7 +267,7 @@
             _run_after(delays.configuration, partial(self.follower.run, membership_known_at))
         )
         self._spawn(self.level_gossip.run())
-        proof_requests = LeaseRenewer(
+        lease_renewer = LeaseRenewer(
             self.follower,
             self.configuration_lease,
             self.view,
@@ -269,7 +275,7 @@
             cfg.instance,
             self._new_rng(),
         )
-        self._spawn(proof_requests.run())
+        self._spawn(lease_renewer.run())
         self._spawn(self.agent.run())
         return self.addresses
 
@@ -403,13 +409,13 @@
         self.target_status.restore(call.request_id, call.target_state)
         return await self.executor.execute(read_call_frame(call, self.now()))
 
-    def _on_peer_fault(self, call: Call) -> None:
+    def _handle_peer_exception(self, call: Call) -> None:
         self.stats.faults += 1
         self.logger.exception(
             'unhandled exception while answering a peer', extra={'service': call.service}
         )
 
-    def _on_fault(self, req: HttpRequest) -> None:
+    def _handle_exception(self, req: HttpRequest) -> None:
         self.stats.faults += 1
         self.logger.exception(
             'unhandled exception while answering a request', extra={'path': req.path}
--- a/dunlinsaddle/mesh/retries.py
+++ b/dunlinsaddle/mesh/retries.py
@@ -9,11 +9,13 @@
 
 SERVER_ERROR_STATUS = 500  #: sent by a target that failed while it ran the request
 MAX_NODE_REFUSALS = 3  #: refusals by nodes after which a request is refused to its caller
-#: Sends of one request that targets refuse to run. If they refuse 55 % of all calls, six sends
-#: serve 97 % of the calls, but 80 % of requests that need eight calls; twelve serve nearly all.
+#: Limit of the sends of one request that targets refuse to run. If targets refuse 55 % of all
+#: calls, six sends serve 97 % of the calls, but only 80 % of the requests that make eight calls.
+#: Twelve sends serve nearly all of them.
 MAX_SENDS_AFTER_REFUSAL = 12
-#: Sends of one request whose responses are lost. If 40 % are lost, four sends serve 97 % (two:
-#: 84 %). There is no time for more, as a lost response takes as long as a successful one.
+#: Limit of the sends of one request whose responses are lost. If 40 % are lost, four sends serve
+#: 97 % of the requests and two serve 84 %. There is no time for more, as a lost response takes as
+#: long as a successful one.
 MAX_SENDS_AFTER_LOSS = 4
 
 
--- a/dunlinsaddle/mesh/startup.py
+++ b/dunlinsaddle/mesh/startup.py
@@ -19,7 +19,7 @@
 
     roster: float = 0.0  #: until it reads the roster to find the other nodes
     configuration: float = 0.0  #: until it fetches the configuration, unless a peer has sent it
-    membership: float = 0.0  #: until it relies on the members to tell whether it is a watcher
+    membership: float = 0.0  #: until it relies on the members to decide whether it is a watcher
 
 
 def startup_delays(rng: Random, *, first_start: bool) -> StartupDelays:
--- a/dunlinsaddle/node.py
+++ b/dunlinsaddle/node.py
@@ -72,7 +72,7 @@
         self.incarnation = int(env.wall_clock() * 1000)
         self.stats = Stats()
         self.record_cache = RecordCache(wall_clock=env.wall_clock)
-        self.view = MemberView(self._member_changed)
+        self.view = MemberView(self._on_member_change)
         self.target = LocalTarget()
         self.running = RunningCalls()
         self.client = HttpClient(settings.max_body_bytes)
@@ -80,7 +80,7 @@
         self.store: ObjectStore = HttpObjectStore(settings.platform, self.platform_client)
         rng = Random(env.rng.random())
         self.agent = GossipAgent(self.view, settings.peer_key, rng, settings.seeds)
-        self.target_watch = TargetMonitor()
+        self.target_monitor = TargetMonitor()
         link_limits = LinkLimits(max_body_bytes=settings.max_body_bytes)
         self.links = PeerLinks(settings.peer_key, settings.instance, link_limits)
         self.admission = Admission()
@@ -98,7 +98,7 @@
             self._is_observe_mode,
             self.crash_notifier.broadcast,
         )
-        self.target.on_start = self._target_started
+        self.target.on_start = self._on_target_start
         router = Router(settings.domain, Random(env.rng.random()), settings.instance)
         self.dispatcher = Dispatcher(
             settings.instance,
@@ -134,9 +134,9 @@
             self._key_window,
         )
         self.dispatcher.idempotency_router = self.idempotency_router
-        self.ranges = LocalRangeUpdater(self.keeper, self.view, self._served_service)
+        self.ranges = LocalRangeUpdater(self.keeper, self.view, self._local_service)
 
-    def _served_service(self) -> LocalService:
+    def _local_service(self) -> LocalService:
         return LocalService(self.target.service, self.target.draining)
 
     def _key_window(self, service: str) -> float:
@@ -243,7 +243,7 @@
         return self.addresses
 
     async def drain(self) -> None:
-        """Stop taking new work, tell the other nodes, and wait for calls in progress."""
+        """Stop accepting new work, notify the other nodes, and wait for running calls."""
         self.target.node_draining = True
         self.local_handler.target_changed.set()
         self.callers_listener.start_closing()
@@ -252,7 +252,7 @@
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(self.settings.drain_timeout):
                 # Callers and routers with an outdated view still send calls here for a moment.
-                # The open listener can tell them to use another node; a closed port could not.
+                # The open listener can refer them to another node; a closed port cannot.
                 await asyncio.sleep(DRAIN_NOTICE_SECONDS)
                 self.callers_listener.stop_listening()
                 self.executor.refuse_waiting()
@@ -299,7 +299,7 @@
             self.addresses.gossip,
         )
 
-    def _member_changed(self, before: Member | None, member: Member) -> None:
+    def _on_member_change(self, before: Member | None, member: Member) -> None:
         """Log state changes of members; operators look for them after an incident."""
         if before is None or before.state is member.state:
             return
@@ -316,7 +316,7 @@
         serving = self.view.serving_members(self.target.service)
         return [m for m in serving if m.instance != self.settings.instance]
 
-    def _target_started(self) -> None:
+    def _on_target_start(self) -> None:
         extra = {'service': self.target.service, 'address': str(self.target.address)}
         self.logger.info('target announced', extra=extra)
         self._configure()
@@ -368,7 +368,7 @@
                     await self.local_handler.target_changed.wait()
             if self.local_handler.target_changed.is_set():
                 self.local_handler.target_changed.clear()
-                self.target_watch.record_announcement(loop.time())
+                self.target_monitor.record_announcement(loop.time())
             elif await self._is_target_gone(loop.time()):
                 self.logger.warning('target gone', extra={'service': self.target.service})
                 self.target.clear()
@@ -379,4 +379,4 @@
         address = self.target.address
         if address is None or self.target.node_draining:
             return False
-        return await self.target_watch.is_gone(now, address)
+        return await self.target_monitor.is_gone(now, address)
--- a/dunlinsaddle/platform/client.py
+++ b/dunlinsaddle/platform/client.py
@@ -30,9 +30,8 @@
 #: Long enough for a slow platform; connecting to one that is down fails sooner.
 CALL_TIMEOUT_SECONDS = 5.0
 MAX_WATCH_MS = 30_000  #: longest watch that the store allows
-EPOCH_HEADER = (
-    b'store-era'  #: in each response; incremented whenever the store is restored from a backup
-)
+#: Sent with each response; its number is incremented whenever the store is restored from a backup.
+EPOCH_HEADER = b'store-era'
 MAX_EPOCH_DIGITS = 6  #: rejects absurd numbers, which could not be sent to peers
 #: Responses with this status or above mean that the store did nothing; 410 answers a watch.
 MIN_REFUSAL_STATUS = 410
--- a/dunlinsaddle/records/changes.py
+++ b/dunlinsaddle/records/changes.py
@@ -18,7 +18,7 @@
 )
 from dunlinsaddle.records.diff import changed_fields
 from dunlinsaddle.records.history import (
-    RECORDS,
+    RECORD_KIND,
     ChangeEntry,
     RecordObject,
     archive_oldest_entries,
@@ -61,7 +61,7 @@
     settled: bool  #: already written by an earlier send of the same change
 
 
-class Clash(NamedTuple):
+class VersionConflict(NamedTuple):
     """A version conflict: the fields that others changed since, and those of this change."""
 
     version: int
@@ -71,10 +71,10 @@
 
 
 class Rejected(NamedTuple):
-    """A change that was not accepted; ``clash`` is set on a version conflict."""
+    """A change that was not accepted; ``conflict`` is set on a version conflict."""
 
     failure: Failure
-    clash: Clash | None = None
+    conflict: VersionConflict | None = None
 
 
 def entry_from_object(existing: StoredObject) -> RecordEntry:
@@ -117,7 +117,7 @@
     """
     detail = ''
     for _ in range(MAX_WRITE_ATTEMPTS):
-        match await store.get(RECORDS, change.service):
+        match await store.get(RECORD_KIND, change.service):
             case Ok(existing):
                 pass
             case Err(error):
@@ -154,7 +154,7 @@
     if invalid is not None:
         return Err(Rejected(invalid))
     if not _matches_expected_version(change.expected, existing):
-        return Err(_clash(change, existing))
+        return Err(_version_conflict(change, existing))
     if change.doc is None and (existing is None or entry_from_object(existing).doc is None):
         return Err(Rejected(Failure(ErrorKind.UNKNOWN_SERVICE, change.service)))
     return None
@@ -185,7 +185,9 @@
             existing_fields = (
                 existing.value if existing and isinstance(existing.value, dict) else {}
             )
-            return await store.put(RECORDS, change.service, {**existing_fields, **trimmed}, before)
+            return await store.put(
+                RECORD_KIND, change.service, {**existing_fields, **trimmed}, before
+            )
         case Err(error):
             return Err(error)
 
@@ -211,10 +213,10 @@
     return Accepted(resulting_version(existing, change.id), changed, settled)
 
 
-def _clash(change: Change, existing: StoredObject | None) -> Rejected:
+def _version_conflict(change: Change, existing: StoredObject | None) -> Rejected:
     if existing is None:
         failure = Failure(ErrorKind.VERSION_CONFLICT, 'there is no such record')
-        return Rejected(failure, Clash(ABSENT, [], [], []))
+        return Rejected(failure, VersionConflict(ABSENT, [], [], []))
     theirs = entries_after(existing, change.expected)
     their_fields = sorted({name for entry in theirs for name in entry['changed']})
     your_fields = changed_fields(entry_from_object(existing).doc, change.doc)
@@ -225,7 +227,7 @@
         detail += f', changed by {last["who"]} at {when} ({", ".join(their_fields) or "nothing"})'
     return Rejected(
         Failure(ErrorKind.VERSION_CONFLICT, detail),
-        Clash(existing.version, theirs, their_fields, your_fields),
+        VersionConflict(existing.version, theirs, their_fields, your_fields),
     )
 
 
--- a/dunlinsaddle/records/history.py
+++ b/dunlinsaddle/records/history.py
@@ -1,4 +1,4 @@
-"""The audit trail of a record, stored in its object; the oldest entries in audit objects."""
+"""The audit trail of a record, stored with it; old entries are moved to audit objects."""
 
 import itertools
 from typing import Any, NamedTuple, TypedDict
@@ -15,8 +15,8 @@
     Unavailable,
 )
 
-RECORDS = 'records'
-AUDIT = 'audit'
+RECORD_KIND = 'records'
+AUDIT_KIND = 'audit'
 # The platform accepts a megabyte, but a watch sends the whole object on each change, and a new
 # watcher reads the objects of all services at once.
 MAX_HISTORY_BYTES = 16_384
@@ -104,7 +104,7 @@
         return Ok(value)
     moved = history[: min(len(history) // 2, len(history) - MIN_INLINE_ENTRIES)]
     name = f'{service}.{value["archived"]}'
-    match await store.put(AUDIT, name, {'history': moved}, ABSENT):
+    match await store.put(AUDIT_KIND, name, {'history': moved}, ABSENT):
         case Ok(_):
             pass
         case Err(Conflict(current)) if current is not None:
@@ -113,7 +113,9 @@
             return Err(error)
     ids = [e['id'] for e in moved]
     if ids != [e['id'] for e in history[: len(ids)]]:
-        return Err(Unavailable(f'{AUDIT}/{name} holds other entries than {RECORDS}/{service}'))
+        return Err(
+            Unavailable(f'{AUDIT_KIND}/{name} holds other entries than {RECORD_KIND}/{service}')
+        )
     return Ok(
         RecordObject(
             record=value['record'], history=history[len(ids) :], archived=value['archived'] + 1
@@ -125,7 +127,7 @@
     store: ObjectStore, service: str
 ) -> Result[list[AuditLine] | None, Unavailable]:
     """Return all changes of a record, oldest first; None if it never existed."""
-    match await store.get(RECORDS, service):
+    match await store.get(RECORD_KIND, service):
         case Ok(None):
             return Ok(None)
         case Ok(stored):
@@ -139,7 +141,7 @@
     store: ObjectStore, since: float = 0.0
 ) -> Result[list[AuditLine], Unavailable]:
     """Return the changes of all records since a Unix time in seconds, oldest first."""
-    match await store.list(RECORDS):
+    match await store.list(RECORD_KIND):
         case Ok(listing):
             pass
         case Err(error):
@@ -163,7 +165,7 @@
     for number in reversed(range(record_object['archived'])):
         if entries and entries[0]['when'] < since:
             break
-        match await store.get(AUDIT, f'{stored.name}.{number}'):
+        match await store.get(AUDIT_KIND, f'{stored.name}.{number}'):
             case Ok(part):
                 older = _entries_if_valid((part.value or {}).get('history', [])) if part else []
                 entries = [*older, *entries]
--- a/dunlinsaddle/records/record_cache.py
+++ b/dunlinsaddle/records/record_cache.py
@@ -20,7 +20,7 @@
 class RecordCache:
     """Holds the newest version of each record and never reverts to an older one.
 
-    ``complete_revision`` is the store version up to which every change is known here.
+    ``complete_version`` is the store version up to which every change is known here.
     """
 
     def __init__(
@@ -28,7 +28,7 @@
     ) -> None:
         self.newest_schema = newest_schema
         self.wall_clock = wall_clock
-        self.complete_revision = 0
+        self.complete_version = 0
         self.unreadable: dict[str, Unreadable] = {}
         self.in_force_since: dict[str, float] = {}
         self._in_force: dict[str, VersionedRecord] = {}
@@ -60,14 +60,14 @@
                 self.unreadable[entry.service] = Unreadable(entry.version, failure.detail)
         return True
 
-    def mark_complete(self, since: int, upto: int) -> None:
-        """Record that all changes after ``since`` and up to ``upto`` have been stored.
+    def mark_complete(self, since_version: int, up_to_version: int) -> None:
+        """Record that all changes after one version and up to another have been stored.
 
-        Nothing is recorded if there is a gap before ``since``: the changes in the gap would
-        never be requested again.
+        Nothing is recorded if there is a gap before ``since_version``: the changes in the gap
+        would never be requested again.
         """
-        if since <= self.complete_revision < upto:
-            self.complete_revision = upto
+        if since_version <= self.complete_version < up_to_version:
+            self.complete_version = up_to_version
 
     def find(self, service: str) -> ServiceRecord | None:
         """Return the record in force, or None."""
--- a/dunlinsaddle/records/sync.py
+++ b/dunlinsaddle/records/sync.py
@@ -20,7 +20,7 @@
 from dunlinsaddle.records import topology
 from dunlinsaddle.records.changes import entry_from_object
 from dunlinsaddle.records.chunks import split_into_chunks
-from dunlinsaddle.records.history import RECORDS
+from dunlinsaddle.records.history import RECORD_KIND
 from dunlinsaddle.records.models import RecordEntry
 from dunlinsaddle.records.record_cache import RecordCache
 from dunlinsaddle.records.sync_parts import PlatformState, RecordTransport, SyncTimings, WatchGrace
@@ -100,8 +100,8 @@
     def handle_frame(self, frame: RecordFrame) -> RecordsResponse | None:
         """Handle a frame from a peer; return the response to a request."""
         match frame:
-            case RecordsRequest(id=request_id, since=since):
-                return self._build_response(request_id, since)
+            case RecordsRequest(id=request_id, since_version=since_version):
+                return self._build_response(request_id, since_version)
             case RecordsPush():
                 self._handle_push(frame)
         return None
@@ -122,7 +122,7 @@
             'unreadable': {
                 name: entry._asdict() for name, entry in record_cache.unreadable.items()
             },
-            'revision': record_cache.complete_revision,
+            'revision': record_cache.complete_version,
             'platform': {'state': state, 'for_seconds': round(seconds, 1)},
             'watchers': self.watchers(),
         }
@@ -139,26 +139,31 @@
             for domain, members in by_domain.items()
             for member in self.rng.sample(members, min(max_per_domain, len(members)))
         ]
-        upto = self.record_cache.complete_revision
+        up_to_version = self.record_cache.complete_version
         responses = await asyncio.gather(
-            *(self.links.fetch_records(m.peers, RecordsRequest(0, upto), 0.5) for _, m in sampled)
+            *(
+                self.links.fetch_records(m.peers, RecordsRequest(0, up_to_version), 0.5)
+                for _, m in sampled
+            )
         )
         responses_by_domain: dict[str, list[RecordsResponse | None]] = {}
         for (domain, _), response in zip(sampled, responses, strict=True):
             responses_by_domain.setdefault(domain, []).append(response)
         return responses_by_domain
 
-    def _build_response(self, request_id: int, since: int) -> RecordsResponse:
-        upto = self.record_cache.complete_revision
+    def _build_response(self, request_id: int, since_version: int) -> RecordsResponse:
+        up_to_version = self.record_cache.complete_version
         age = _now() - self.synced_at
-        entries = self.record_cache.documents_after(since)
-        chunk = next(split_into_chunks(entries, since, max(upto, since)))
-        has_more = chunk.upto < upto
-        return RecordsResponse(request_id, min(chunk.upto, upto), age, has_more, chunk.entries)
+        entries = self.record_cache.documents_after(since_version)
+        chunk = next(split_into_chunks(entries, since_version, max(up_to_version, since_version)))
+        has_more = chunk.up_to_version < up_to_version
+        return RecordsResponse(
+            request_id, min(chunk.up_to_version, up_to_version), age, has_more, chunk.entries
+        )
 
     def _handle_push(self, push: RecordsPush) -> None:
         updated = self._store_entries(push.entries)
-        self.record_cache.mark_complete(push.since, push.upto)
+        self.record_cache.mark_complete(push.since_version, push.up_to_version)
         local = self.local_member()
         if push.domain == local.domain and push.tree_root and self._is_first_delivery(push):
             self._push(self._children(local.instance, push.tree_root), push)
@@ -167,13 +172,16 @@
         if push.domain != local.domain:
             # This domain may be cut off from the platform, so forward the push to all of it.
             forwarded = RecordsPush(
-                push.since, push.upto, local.domain, local.instance, push.entries
+                push.since_version, push.up_to_version, local.domain, local.instance, push.entries
             )
             self._push(self._children(local.instance, local.instance), forwarded)
         # A frozen node whose links are still open drops pushes without an error. Forwarding
         # changes to neighbours too reaches the nodes below it before the next exchange.
         nearby = [m for m in self._neighbours() if m.domain == local.domain]
-        self._push(nearby, RecordsPush(push.since, push.upto, local.domain, '', push.entries))
+        self._push(
+            nearby,
+            RecordsPush(push.since_version, push.up_to_version, local.domain, '', push.entries),
+        )
 
     def _is_first_delivery(self, push: RecordsPush) -> bool:
         """Return whether a push arrives through its tree for the first time.
@@ -182,7 +190,7 @@
         each node. If one tree stopped where the other was faster, it would not reach the nodes
         below a node that is dead in the other tree.
         """
-        key = (push.tree_root, push.since, push.upto)
+        key = (push.tree_root, push.since_version, push.up_to_version)
         if key in self._seen_pushes:
             return False
         self._seen_pushes[key] = None
@@ -237,33 +245,42 @@
             await self._watch(0)
 
     async def _watch(self, timeout: float) -> None:
-        since = self.record_cache.complete_revision
+        since_version = self.record_cache.complete_version
         started_at = _now()
-        result = await self.store.watch(RECORDS, since, timeout, self._watch_grace.seconds)
+        result = await self.store.watch(
+            RECORD_KIND, since_version, timeout, self._watch_grace.seconds
+        )
         elapsed = _now() - started_at
         self._watch_grace.update(elapsed - timeout, answered=isinstance(result, Ok))
         match result:
             case Ok(listing):
                 self._failures = 0
                 self.platform.record_result(_now(), True)
-                self._handle_listing(since, listing)
+                self._handle_listing(since_version, listing)
                 # Do not query a platform that responds at once with no change in a busy loop.
                 if elapsed < self.timings.initial_backoff and not listing.objects:
                     await asyncio.sleep(self.timings.initial_backoff)
             case Err(error):
                 await self._back_off(error)
 
-    def _handle_listing(self, since: int, listing: Listing) -> None:
+    def _handle_listing(self, since_version: int, listing: Listing) -> None:
         entries = sorted(map(entry_from_object, listing.objects), key=lambda e: e.version)
         updated = self._store_entries(entries)
-        self.record_cache.mark_complete(since, listing.version)
+        self.record_cache.mark_complete(since_version, listing.version)
         self.synced_at = _now()
         if not updated:
             return
         local = self.local_member()
-        # Push all entries, not only new ones: a push claims to contain all changes up to ``upto``.
-        for chunk in split_into_chunks(entries, since, listing.version):
-            push = RecordsPush(chunk.since, chunk.upto, local.domain, local.instance, chunk.entries)
+        # Push all entries, not only new ones: a push must contain all changes up to its
+        # ``up_to_version``.
+        for chunk in split_into_chunks(entries, since_version, listing.version):
+            push = RecordsPush(
+                chunk.since_version,
+                chunk.up_to_version,
+                local.domain,
+                local.instance,
+                chunk.entries,
+            )
             self._push(
                 [
                     *self._children(local.instance, local.instance),
@@ -326,28 +343,32 @@
     async def _pull(self, member: Member) -> bool:
         """Fetch the records missing here from a peer, and push those that it is missing."""
         while True:
-            since = self.record_cache.complete_revision
-            request = RecordsRequest(0, since)
+            since_version = self.record_cache.complete_version
+            request = RecordsRequest(0, since_version)
             response = await self.links.fetch_records(
                 member.peers, request, self.timings.response_timeout
             )
             if response is None:
                 return False
             self._store_entries(response.entries)
-            self.record_cache.mark_complete(since, response.upto)
-            if not response.has_more or response.upto <= since:
+            self.record_cache.mark_complete(since_version, response.up_to_version)
+            if not response.has_more or response.up_to_version <= since_version:
                 break
-        if response.upto >= self.record_cache.complete_revision:
+        if response.up_to_version >= self.record_cache.complete_version:
             self.synced_at = max(self.synced_at, _now() - response.age_seconds)
         else:
-            self._push_missing(member, response.upto)
+            self._push_missing(member, response.up_to_version)
         return True
 
-    def _push_missing(self, member: Member, upto: int) -> None:
-        entries = self.record_cache.documents_after(upto)
-        for chunk in split_into_chunks(entries, upto, self.record_cache.complete_revision):
+    def _push_missing(self, member: Member, up_to_version: int) -> None:
+        entries = self.record_cache.documents_after(up_to_version)
+        for chunk in split_into_chunks(entries, up_to_version, self.record_cache.complete_version):
             push = RecordsPush(
-                chunk.since, chunk.upto, self.local_member().domain, '', chunk.entries
+                chunk.since_version,
+                chunk.up_to_version,
+                self.local_member().domain,
+                '',
+                chunk.entries,
             )
             self._push([member], push)
 
--- a/dunlinsaddle/routes/config_follower.py
+++ b/dunlinsaddle/routes/config_follower.py
@@ -179,7 +179,7 @@
         if not isinstance(frame, RecordsRequest):
             return None
         entry = self._entry
-        entries = [entry] if entry is not None and entry.version > frame.since else []
+        entries = [entry] if entry is not None and entry.version > frame.since_version else []
         age = min(max(self.configuration_lease.age, 0.0), MAX_TIMEOUT_SECONDS)
         return RecordsResponse(frame.id, self.version, age, False, entries)
 
@@ -214,7 +214,7 @@
             return
         for entry in answer.entries:
             self._apply_from_peer(entry, member.instance)
-        if max(self.version, self._rejected_version) >= answer.upto:
+        if max(self.version, self._rejected_version) >= answer.up_to_version:
             self.configuration_lease.renew(began - answer.age_seconds)
 
     def _apply_listing(self, listing: Listing) -> None:
--- a/dunlinsaddle/serve.py
+++ b/dunlinsaddle/serve.py
@@ -16,7 +16,7 @@
 from dunlinsaddle.exit_status import ExitStatus
 from dunlinsaddle.logs import create_logger
 from dunlinsaddle.memory import tune_garbage_collector
-from dunlinsaddle.mesh import daemon as mesh
+from dunlinsaddle.mesh import daemon as mesh_daemon
 from dunlinsaddle.node import Node
 from dunlinsaddle.settings import (
     OPTIONS,
@@ -72,7 +72,7 @@
             return ExitStatus.OK
         node_file = self.option('node-file') or self.env.environ.get(env_name('node-file'))
         if node_file:
-            return mesh.run(self.env, node_file, check=self._is_check())
+            return mesh_daemon.run(self.env, node_file, check=self._is_check())
         names = [*(opt.name for opt in OPTIONS), *secret_file_options()]
         flags = {name: self.option(name) for name in names}
         set_flags = {name: text for name, text in flags.items() if text is not None}
@@ -123,10 +123,10 @@
 
     loop.add_signal_handler(signal.SIGTERM, stop.set)
     loop.add_signal_handler(signal.SIGINT, interrupt)
-    listen_addresses = await node.start()
-    addresses = {name: str(address) for name, address in listen_addresses._asdict().items()}
+    addresses = await node.start()
+    addresses_by_name = {name: str(address) for name, address in addresses._asdict().items()}
     tune_garbage_collector()
-    node.logger.info('listening', extra={'faces': addresses})
+    node.logger.info('listening', extra={'faces': addresses_by_name})
     try:
         await stop.wait()
         node.logger.info('draining')
--- a/tests/fakes/pair.py
+++ b/tests/fakes/pair.py
@@ -1,16 +1,13 @@
 """Two nodes in one loop, the target of one, and a store: small enough for a paused clock."""
-
 import asyncio
-
 import msgspec
-
 from dunlinsaddle.calls.client import HttpClient
 from dunlinsaddle.calls.connection import Answered
 from dunlinsaddle.calls.http import HttpLimits, HttpRequest, HttpResponse
 from dunlinsaddle.calls.listener import HttpListener
 from dunlinsaddle.calls.messages import Lost, NotSent
 from dunlinsaddle.node import Node
-from dunlinsaddle.records.changes import RECORDS
+from dunlinsaddle.records.changes import RECORD_KIND
 from dunlinsaddle.settings import Address
 from tests.builders import build_document, build_environment, build_logger, build_settings
 from tests.fakes.store import FakeStore
@@ -51,7 +48,7 @@
         self.store = FakeStore()
 
     async def start(self) -> 'NodePair':
-        await self.store.put(RECORDS, 'cut-orders', {'record': self.document}, 0)
+        await self.store.put(RECORD_KIND, 'cut-orders', {'record': self.document}, 0)
         face = HttpListener(self.target.handle, HttpLimits())
         await face.listen(Address(HOST, 9000))
         self.entry_node = await self.start_node('menai-1', 100)
--- a/tests/fakes/site.py
+++ b/tests/fakes/site.py
@@ -1,24 +1,21 @@
 """Whole nodes with their targets in one loop, links that can be cut and lose answers."""
-
 import asyncio
+import msgspec
 from collections import Counter
 from collections.abc import Callable
-from random import Random
-from typing import Any
-
-import msgspec
-
 from dunlinsaddle.calls.client import HttpClient
 from dunlinsaddle.calls.connection import Answered
 from dunlinsaddle.calls.http import HttpLimits, HttpRequest, HttpResponse
 from dunlinsaddle.calls.listener import HttpListener
 from dunlinsaddle.calls.messages import Lost, Reply
-from dunlinsaddle.membership.roster import ROSTERS
+from dunlinsaddle.membership.roster import ROSTER_KIND
 from dunlinsaddle.node import Node
-from dunlinsaddle.records.changes import RECORDS
+from dunlinsaddle.records.changes import RECORD_KIND
 from dunlinsaddle.settings import Address
+from random import Random
 from tests.builders import build_document, build_environment, build_logger, build_settings
 from tests.fakes.store import FakeStore
+from typing import Any
 
 HOST = '127.0.0.1'
 CALL_HEADER = b'dunlinsaddle-call'
@@ -81,7 +78,7 @@
     """Nodes by name, each with at most one target, over one store."""
 
     def __init__(self, seed: int = 5) -> None:
-        self.store = FakeStore(separate_kinds={ROSTERS})
+        self.store = FakeStore(separate_kinds={ROSTER_KIND})
         self.nodes: dict[str, Node] = {}
         self.targets: dict[str, Any] = {}
         self.client = HttpClient()
@@ -93,9 +90,9 @@
         self._names: dict[Address, str] = {}
 
     async def write_record(self, service: str = 'cut-orders', **changes: Any) -> int:
-        held = self.store.objects.get((RECORDS, service))
+        held = self.store.objects.get((RECORD_KIND, service))
         value = {'record': build_document(service, **changes)}
-        written = await self.store.put(RECORDS, service, value, held.version if held else 0)
+        written = await self.store.put(RECORD_KIND, service, value, held.version if held else 0)
         return written.unwrap().version
 
     async def start_node(
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -7,9 +7,9 @@
 from dunlinsaddle.calls.client import HttpClient
 from dunlinsaddle.calls.connection import Answered
 from dunlinsaddle.calls.http import HttpRequest
-from dunlinsaddle.membership.roster import ROSTERS
+from dunlinsaddle.membership.roster import ROSTER_KIND
 from dunlinsaddle.node import Node
-from dunlinsaddle.records.history import RECORDS
+from dunlinsaddle.records.history import RECORD_KIND
 from tests.builders import (
     OPERATOR_TOKEN,
     build_document,
@@ -34,7 +34,7 @@
                 peers='127.0.0.1:3',
                 operators='127.0.0.1:4',
             )
-            self.store = FakeStore(separate_kinds={ROSTERS})
+            self.store = FakeStore(separate_kinds={ROSTER_KIND})
             self.node = Node(settings, build_environment(), build_logger())
             self.node.use_store(self.store)
             self.client = HttpClient()
@@ -132,10 +132,10 @@
     def test_status_shows_unreadable_records_and_the_lost_platform(self):
         async def scenario():
             value = {'record': build_document(deadline=2.0)}
-            await self.store.put(RECORDS, 'cut-orders', value, 0)
+            await self.store.put(RECORD_KIND, 'cut-orders', value, 0)
             await asyncio.sleep(1)
             value = {'record': {'schema': 3, 'service': 'cut-orders'}}
-            await self.store.put(RECORDS, 'cut-orders', value, 1)
+            await self.store.put(RECORD_KIND, 'cut-orders', value, 1)
             await asyncio.sleep(1)
             self.store.down = True
             await asyncio.sleep(20)
@@ -150,7 +150,7 @@
 
     def test_metrics_can_be_read_without_a_collector(self):
         async def scenario():
-            await self.store.put(RECORDS, 'cut-orders', {'record': build_document()}, 0)
+            await self.store.put(RECORD_KIND, 'cut-orders', {'record': build_document()}, 0)
             await asyncio.sleep(1)
             req = HttpRequest('GET', '/cut-orders/orders/1', [], b'', '')
             await self.client.send(self.node.addresses.callers, req, 10)
--- a/tests/test_changes.py
+++ b/tests/test_changes.py
@@ -8,9 +8,9 @@
 from dunlinsaddle.platform.store import Unavailable
 from dunlinsaddle.records.changes import Change, apply_change
 from dunlinsaddle.records.history import (
-    AUDIT,
+    AUDIT_KIND,
     MAX_HISTORY_BYTES,
-    RECORDS,
+    RECORD_KIND,
     archive_oldest_entries,
     read_audit,
     read_history,
@@ -70,7 +70,7 @@
         first = self.apply(build_change('a')).unwrap()
         self.apply(build_change('b', doc=None, expected=first.version))
         self.assertTrue(self.apply(build_change('a')).unwrap().settled)
-        self.assertIsNone(self.store.objects[RECORDS, 'cut-orders'].value['record'])
+        self.assertIsNone(self.store.objects[RECORD_KIND, 'cut-orders'].value['record'])
 
     def test_reused_id_of_another_change_is_rejected(self):
         self.apply(build_change('a'))
@@ -102,9 +102,9 @@
         rejected = rejected_result.unwrap_err()
         self.assertIs(ErrorKind.VERSION_CONFLICT, rejected.failure.kind)
         self.assertIn('changed by ann at 2023-11-14T22:13:20Z (deadline)', rejected.failure.detail)
-        self.assertEqual(['deadline'], rejected.clash.their_fields)
-        self.assertEqual(['deadline', 'retry_bound'], rejected.clash.your_fields)
-        self.assertEqual(accepted_result.unwrap().version, rejected.clash.version)
+        self.assertEqual(['deadline'], rejected.conflict.their_fields)
+        self.assertEqual(['deadline', 'retry_bound'], rejected.conflict.your_fields)
+        self.assertEqual(accepted_result.unwrap().version, rejected.conflict.version)
 
     def test_concurrent_changes_with_lost_responses_leave_one_entry_per_accepted_change(self):
         # Twelve operators change one record at once and every third write response is lost. Each
@@ -130,8 +130,8 @@
                     case Ok(accepted):
                         return accepted.version
                     case Err(rejected):
-                        assert rejected.clash is not None, rejected
-                        expected = rejected.clash.version
+                        assert rejected.conflict is not None, rejected
+                        expected = rejected.conflict.version
 
         async def all_operators():
             return await asyncio.gather(*map(operator, range(12)))
@@ -151,7 +151,7 @@
         audit = self.run_paused(read_audit(self.store)).unwrap()
         self.assertEqual(400, len(audit))
         sizes = [len(msgspec.json.encode(o.value)) for o in self.store.objects.values()]
-        self.assertGreater(len([k for k, _ in self.store.objects if k == AUDIT]), 0)
+        self.assertGreater(len([k for k, _ in self.store.objects if k == AUDIT_KIND]), 0)
         self.assertLess(max(sizes), 2 * MAX_HISTORY_BYTES)
 
     def test_audit_since_a_time_reads_no_audit_objects_that_it_does_not_need(self):
@@ -175,7 +175,7 @@
             version = (
                 self.apply(build_change(str(number), doc=doc, expected=version)).unwrap().version
             )
-        value = read_record_object(self.store.objects[RECORDS, 'cut-orders'])
+        value = read_record_object(self.store.objects[RECORD_KIND, 'cut-orders'])
         partial = {**value, 'history': value['history'][:6]}
         self.run_paused(archive_oldest_entries(self.store, 'cut-orders', partial, 10))
         archived_value = self.run_paused(
@@ -200,12 +200,12 @@
 
     def test_trail_of_a_newer_version_is_preserved_or_the_change_rejected(self):
         first = self.apply(build_change('a')).unwrap()
-        stored = self.store.objects[RECORDS, 'cut-orders']
+        stored = self.store.objects[RECORD_KIND, 'cut-orders']
         stored.value['history'][0]['ticket'] = 'OPS-7'
         stored.value['labels'] = ['kept']
         change = build_change('b', doc=build_document(deadline=2.0), expected=first.version)
         self.apply(change)
-        value = self.store.objects[RECORDS, 'cut-orders'].value
+        value = self.store.objects[RECORD_KIND, 'cut-orders'].value
         self.assertEqual(('OPS-7', ['kept']), (value['history'][0]['ticket'], value['labels']))
         value['history'][0] = {'another': 'shape'}
         rejected = self.apply(build_change('c', expected=2)).unwrap_err()
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -1,14 +1,13 @@
+
 import asyncio
 import itertools
-from collections import Counter
-
 import msgspec
-from result import Err
-
+from collections import Counter
 from dunlinsaddle.calls.http import HttpRequest
 from dunlinsaddle.platform.store import Unavailable
-from dunlinsaddle.records.history import RECORDS, entries_after
+from dunlinsaddle.records.history import RECORD_KIND, entries_after
 from dunlinsaddle.settings import Address
+from result import Err
 from tests.builders import OPERATOR_TOKEN, build_document
 from tests.clock import PausedClockTest
 from tests.fakes.site import Site, Target, seconds_until
@@ -28,7 +27,7 @@
 
     async def put(self, kind, name, value, expected):
         result = await super().put(kind, name, value, expected)
-        lost = kind == RECORDS and next(self.lost)
+        lost = kind == RECORD_KIND and next(self.lost)
         return Err(Unavailable('lost')) if lost and result.is_ok() else result
 
 
@@ -161,7 +160,7 @@
 
             versions = await asyncio.gather(*map(operate, range(8)))
             await asyncio.sleep(2)
-            stored = site.store.objects[RECORDS, 'cut-orders']
+            stored = site.store.objects[RECORD_KIND, 'cut-orders']
             in_force = {n.record_cache.version('cut-orders') for n in site.nodes.values()}
             return versions, entries_after(stored, version), in_force
 
--- a/tests/test_fuzz_faces.py
+++ b/tests/test_fuzz_faces.py
@@ -1,12 +1,11 @@
+
 import asyncio
+import msgspec
 import random
 import resource
-
-import msgspec
-
 from dunlinsaddle.calls.frames import Role, make_proof
 from dunlinsaddle.calls.messages import Challenge, Frame, Hello, Ping, Welcome
-from dunlinsaddle.records.changes import RECORDS
+from dunlinsaddle.records.changes import RECORD_KIND
 from tests.builders import PEER_KEY, build_call, build_reply
 from tests.clock import PausedClockTest
 from tests.fakes.pair import NodePair, SleepingTarget
@@ -79,14 +78,14 @@
             target = SleepingTarget()
             pair = await NodePair(target).start()
             node = pair.target_node
-            before = (node.target.address, pair.store.objects[RECORDS, 'cut-orders'])
+            before = (node.target.address, pair.store.objects[RECORD_KIND, 'cut-orders'])
             rng = random.Random(20)
             base = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss
             for number in range(INPUTS):
                 await self.give(address_of(node), make(rng), rng, number, greet)
             await asyncio.sleep(100)
             grown = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss - base
-            after = (node.target.address, pair.store.objects[RECORDS, 'cut-orders'])
+            after = (node.target.address, pair.store.objects[RECORD_KIND, 'cut-orders'])
             left = [len(face.connections) for face in (node.callers_listener, node.local_listener)]
             # The other node compares records over a link of its own, which is to stay.
             own = [link for link in pair.entry_node.links._links.values() if link.is_open]
--- a/tests/test_node_paused.py
+++ b/tests/test_node_paused.py
@@ -1,10 +1,10 @@
-import asyncio
 
+import asyncio
 from dunlinsaddle.calls.client import HttpClient
 from dunlinsaddle.calls.connection import Answered
 from dunlinsaddle.calls.http import HttpRequest
 from dunlinsaddle.node import Node
-from dunlinsaddle.records.changes import RECORDS
+from dunlinsaddle.records.changes import RECORD_KIND
 from tests.builders import build_document, build_environment, build_logger, build_settings
 from tests.clock import PausedClockTest
 from tests.fakes.pair import NodePair, SleepingTarget
@@ -23,7 +23,7 @@
             )
             node = Node(settings, build_environment(), build_logger())
             store = FakeStore()
-            await store.put(RECORDS, 'cut-orders', {'record': build_document()}, 0)
+            await store.put(RECORD_KIND, 'cut-orders', {'record': build_document()}, 0)
             node.use_store(store)
             addresses = await node.start()
             await asyncio.sleep(1)
--- a/tests/test_roster.py
+++ b/tests/test_roster.py
@@ -3,7 +3,7 @@
 
 from dunlinsaddle.membership.agent import GossipAgent
 from dunlinsaddle.membership.coordinators import COORDINATORS_PER_DOMAIN, rank_by_hash
-from dunlinsaddle.membership.roster import ROSTERS, Bootstrap, RosterStore
+from dunlinsaddle.membership.roster import ROSTER_KIND, Bootstrap, RosterStore
 from dunlinsaddle.membership.view import Member, MemberView, State
 from dunlinsaddle.settings import Address
 from tests.builders import PEER_KEY, build_member
@@ -83,7 +83,8 @@
                 await fleet.start(f'n{i}', 'bangor-hall')
             await fleet.wait_joined(20)
             listed = [
-                e['instance'] for e in fleet.store.objects[ROSTERS, 'bangor-hall'].value['members']
+                e['instance']
+                for e in fleet.store.objects[ROSTER_KIND, 'bangor-hall'].value['members']
             ]
             for name in listed:
                 fleet.stop(name)
@@ -151,7 +152,7 @@
     def test_an_unreadable_roster_is_replaced(self):
         async def scenario():
             fleet = Fleet()
-            await fleet.store.put(ROSTERS, 'bangor-hall', {'members': ['x', {'a': 1}]}, 0)
+            await fleet.store.put(ROSTER_KIND, 'bangor-hall', {'members': ['x', {'a': 1}]}, 0)
             await fleet.start('n0', 'bangor-hall')
             await asyncio.sleep(5)
             return await RosterStore(fleet.store, 'bangor-hall').read()
--- a/tests/test_sync.py
+++ b/tests/test_sync.py
@@ -2,11 +2,11 @@
 from random import Random
 
 from dunlinsaddle.calls.messages import RecordsPush, RecordsRequest
-from dunlinsaddle.membership.roster import ROSTERS
+from dunlinsaddle.membership.roster import ROSTER_KIND
 from dunlinsaddle.membership.view import State
 from dunlinsaddle.node import Node
 from dunlinsaddle.records.chunks import MAX_CHUNK_BYTES
-from dunlinsaddle.records.history import RECORDS
+from dunlinsaddle.records.history import RECORD_KIND
 from dunlinsaddle.records.models import RecordEntry
 from dunlinsaddle.records.topology import FANOUT, WATCHER_COUNT
 from tests.builders import build_document, build_environment, build_logger, build_settings
@@ -20,9 +20,9 @@
 
 
 async def write(fleet: FakeFleet, deadline: float, service: str = 'cut-orders') -> int:
-    stored = fleet.store.objects.get((RECORDS, service))
+    stored = fleet.store.objects.get((RECORD_KIND, service))
     value = {'record': build_document(service, deadline=deadline)}
-    written = await fleet.store.put(RECORDS, service, value, stored.version if stored else 0)
+    written = await fleet.store.put(RECORD_KIND, service, value, stored.version if stored else 0)
     return written.unwrap().version
 
 
@@ -110,7 +110,7 @@
             await asyncio.sleep(4)
             fleet.isolate('menai-hall')
             await asyncio.sleep(fleet.rng.random() * 12)
-            await fleet.store.delete(RECORDS, 'slab-stock', 1)
+            await fleet.store.delete(RECORD_KIND, 'slab-stock', 1)
             version = await write(fleet, 2.0)
             await asyncio.sleep(fleet.rng.random() * 12)
             fleet.rejoin()
@@ -191,7 +191,7 @@
             new = fleet.add('menai-hall', 'menai-hall-fresh')
             new.start()
             await asyncio.sleep(1)
-            return len(list(new.record_cache.entries())), new.record_cache.complete_revision
+            return len(list(new.record_cache.entries())), new.record_cache.complete_version
 
         self.assertEqual((30, 30), self.run_paused(scenario()))
 
@@ -205,7 +205,7 @@
             old, *others = fleet.nodes.values()
             for node in fleet.nodes.values():
                 await node.sync._watch(0)
-            await fleet.store.delete(RECORDS, 'slab-stock', 2)
+            await fleet.store.delete(RECORD_KIND, 'slab-stock', 2)
             version = await write(fleet, 2.0)
             for node in others:
                 await node.sync._watch(0)
@@ -257,7 +257,7 @@
     def assert_complete(self, fleet: FakeFleet, node: FakeNode) -> None:
         actual = {e.service: e.version for e in node.record_cache.entries()}
         for (_, name), stored in fleet.store.objects.items():
-            if stored.version <= node.record_cache.complete_revision:
+            if stored.version <= node.record_cache.complete_version:
                 self.assertEqual(stored.version, actual.get(name))
 
     async def inject_fault(self, fleet: FakeFleet, rng: Random) -> None:
@@ -288,7 +288,7 @@
             one.receive(RecordsPush(1, version, 'menai-hall', '', [entry]))
             await one.sync._watch(0)
             await asyncio.sleep(0.1)
-            return two.record_cache.complete_revision, two.record_cache.version('cut-orders')
+            return two.record_cache.complete_version, two.record_cache.version('cut-orders')
 
         self.assertEqual((2, 2), self.run_paused(scenario()))
 
@@ -300,7 +300,7 @@
             old = fleet.add('menai-hall', 'old', newest_schema=1)
             new = fleet.add('bangor-hall', 'new')
             first = {'schema': 1, 'service': 'cut-orders', 'deadline_seconds': 4.0}
-            await fleet.store.put(RECORDS, 'cut-orders', {'record': first}, 0)
+            await fleet.store.put(RECORD_KIND, 'cut-orders', {'record': first}, 0)
             await old.sync._watch(0)
             await write(fleet, 2.0)
             await old.sync._watch(0)
@@ -324,11 +324,11 @@
             ]
             for number in range(20):
                 doc = build_document(f'service-{number}', requests=rules)
-                await fleet.store.put(RECORDS, doc['service'], {'record': doc}, 0)
+                await fleet.store.put(RECORD_KIND, doc['service'], {'record': doc}, 0)
             await one.sync._watch(0)
             part = one.sync.handle_frame(RecordsRequest(0, 0))
             await two.sync._pull(one.member)
-            return len(part.entries), part.has_more, two.record_cache.complete_revision
+            return len(part.entries), part.has_more, two.record_cache.complete_version
 
         count, more, revision = self.run_paused(scenario())
         self.assertLess(count * 15_000, 2 * MAX_CHUNK_BYTES)
@@ -340,18 +340,21 @@
         # Of two complete nodes one never reaches the platform. It gets the first record by a
         # request to its peer, and a later one by a push of the peer.
         async def scenario():
-            reachable_store, unreachable_store = FakeStore(separate_kinds={ROSTERS}), FakeStore()
+            reachable_store, unreachable_store = (
+                FakeStore(separate_kinds={ROSTER_KIND}),
+                FakeStore(),
+            )
             unreachable_store.down = True
             one = build_node('bangor-1', 'bangor-hall', 10, reachable_store)
             two = build_node('menai-1', 'menai-hall', 20, unreachable_store)
-            await reachable_store.put(RECORDS, 'cut-orders', {'record': build_document()}, 0)
+            await reachable_store.put(RECORD_KIND, 'cut-orders', {'record': build_document()}, 0)
             await one.start()
             await two.start()
             one.view.merge(two.local_member())
             two.view.merge(one.local_member())
             await asyncio.sleep(3)
             first = two.record_cache.version('cut-orders')
-            await reachable_store.put(RECORDS, 'cut-orders', {'record': build_document()}, 1)
+            await reachable_store.put(RECORD_KIND, 'cut-orders', {'record': build_document()}, 1)
             await asyncio.sleep(0.1)
             second = two.record_cache.version('cut-orders')
             await two.stop()
--- a/tests/utils.py
+++ b/tests/utils.py
@@ -1,18 +1,15 @@
 """Runs the command-line tool in process, and a node for it to connect to."""
-
 import asyncio
+import msgspec
 import threading
 import time
-from typing import Any, NamedTuple
-
-import msgspec
-
 from dunlinsaddle.cli.core import program
 from dunlinsaddle.managed_node import ListenAddresses
-from dunlinsaddle.membership.roster import ROSTERS
+from dunlinsaddle.membership.roster import ROSTER_KIND
 from dunlinsaddle.node import Node
 from tests.builders import OPERATOR_TOKEN, build_environment, build_logger, build_settings
 from tests.fakes.store import FakeStore
+from typing import Any, NamedTuple
 
 
 class CliResult(NamedTuple):
@@ -39,7 +36,7 @@
     """Context manager that runs a node in its own thread, with an in-memory store."""
 
     def __init__(self) -> None:
-        self.store = FakeStore(separate_kinds={ROSTERS})
+        self.store = FakeStore(separate_kinds={ROSTER_KIND})
         self.node: Node
         self.addresses: ListenAddresses
         self.loop = asyncio.new_event_loop()
