--- a/dunlinsaddle/membership/protocol.py
+++ b/dunlinsaddle/membership/protocol.py
@@ -345,7 +345,7 @@
 
     def _expire_suspicions(self, now: float) -> None:
         for instance in self.suspicions.pop_expired(now):
-            # If it were spread after a partition heals, the suspicion would start again.
+            # A queued suspicion that is sent after a partition heals would start another one.
             self.rumors.remove(instance)
             current = self.view.find(instance)
             if current is not None:
--- a/dunlinsaddle/node.py
+++ b/dunlinsaddle/node.py
@@ -134,7 +134,7 @@
             self._key_window,
         )
         self.dispatcher.idempotency_router = self.idempotency_router
-        self.ranges = LocalRangeUpdater(self.keeper, self.view, self._local_service)
+        self.range_updater = LocalRangeUpdater(self.keeper, self.view, self._local_service)
 
     def _local_service(self) -> LocalService:
         return LocalService(self.target.service, self.target.draining)
@@ -239,7 +239,7 @@
         self._spawn(self.sync.run())
         self._spawn(self.metrics.export_loop())
         self._spawn(self._announce_loop())
-        self._spawn(self.ranges.run())
+        self._spawn(self.range_updater.run())
         return self.addresses
 
     async def drain(self) -> None:
@@ -248,7 +248,7 @@
         self.local_handler.target_changed.set()
         self.callers_listener.start_closing()
         # Not awaited here, so that an unavailable platform does not delay the drain.
-        releasing_ranges = asyncio.create_task(self.ranges.update())
+        releasing_ranges = asyncio.create_task(self.range_updater.update())
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(self.settings.drain_timeout):
                 # Callers and routers with an outdated view still send calls here for a moment.
--- a/dunlinsaddle/platform/client.py
+++ b/dunlinsaddle/platform/client.py
@@ -128,8 +128,8 @@
                     lambda c: c.to_listing(kind, position.epoch)
                 )
             case Ok(HttpResponse(status=200 | 410)):
-                # The revision is no longer in the history, or belongs to another epoch, in which
-                # it identifies other changes, so that some would be missed.
+                # The revision is no longer in the history, or belongs to another epoch. There the
+                # same number identifies other changes, and some would be missed.
                 return await self._list(kind, timeout + grace)
             case other:
                 return Err(_unavailable(other))
--- a/dunlinsaddle/platform/store.py
+++ b/dunlinsaddle/platform/store.py
@@ -6,8 +6,8 @@
 from result import Result
 
 JsonValue = Any  #: any value that JSON can represent
-#: Enough for a year at 30,000 changes a second; a power of ten, so that both parts of a version
-#: can be read in its decimal form.
+#: Enough for a year at 30,000 changes per second. A power of ten, so that the epoch and the
+#: revision are visible in the decimal digits of a version.
 VERSIONS_PER_EPOCH = 10**12
 
 
--- a/dunlinsaddle/records/sync.py
+++ b/dunlinsaddle/records/sync.py
@@ -66,7 +66,7 @@
         self._watch_grace = WatchGrace(timings)
         self._skip_until: dict[str, float] = {}
         self._seen_pushes: dict[tuple[str, int, int], None] = {}
-        self._pushes: set[asyncio.Task[None]] = set()
+        self._push_tasks: set[asyncio.Task[None]] = set()
         self._selection = _PeerSelection(-1, [], [])
 
     async def run(self) -> None:
@@ -79,7 +79,7 @@
                 group.create_task(self._run_repeatedly(self._query_platform))
                 group.create_task(self._run_repeatedly(self._exchange_with_neighbour))
         finally:
-            for task in self._pushes:
+            for task in self._push_tasks:
                 task.cancel()
 
     def watchers(self) -> list[str]:
@@ -312,8 +312,8 @@
     def _push(self, members: Iterable[Member], push: RecordsPush) -> None:
         for member in members:
             task = asyncio.get_running_loop().create_task(self._push_to(member, push))
-            self._pushes.add(task)
-            task.add_done_callback(self._pushes.discard)
+            self._push_tasks.add(task)
+            task.add_done_callback(self._push_tasks.discard)
 
     async def _push_to(self, member: Member, push: RecordsPush) -> None:
         delivered = await self.links.notify(member.peers, push)
