--- a/tests/fakes/pair.py
+++ b/tests/fakes/pair.py
@@ -1,6 +1,9 @@
 """Two nodes in one loop, the target of one, and a store: small enough for a paused clock."""
+
 import asyncio
+
 import msgspec
+
 from dunlinsaddle.calls.client import HttpClient
 from dunlinsaddle.calls.connection import Answered
 from dunlinsaddle.calls.http import HttpLimits, HttpRequest, HttpResponse
--- a/tests/test_node_paused.py
+++ b/tests/test_node_paused.py
@@ -1,5 +1,5 @@
-
 import asyncio
+
 from dunlinsaddle.calls.client import HttpClient
 from dunlinsaddle.calls.connection import Answered
 from dunlinsaddle.calls.http import HttpRequest
--- a/tests/utils.py
+++ b/tests/utils.py
@@ -1,15 +1,18 @@
 """Runs the command-line tool in process, and a node for it to connect to."""
+
 import asyncio
-import msgspec
 import threading
 import time
+from typing import Any, NamedTuple
+
+import msgspec
+
 from dunlinsaddle.cli.core import program
 from dunlinsaddle.managed_node import ListenAddresses
 from dunlinsaddle.membership.roster import ROSTER_KIND
 from dunlinsaddle.node import Node
 from tests.builders import OPERATOR_TOKEN, build_environment, build_logger, build_settings
 from tests.fakes.store import FakeStore
-from typing import Any, NamedTuple
 
 
 class CliResult(NamedTuple):
