--- a/tests/builders.py
+++ b/tests/builders.py
@@ -1,4 +1,4 @@
-"""Builders of test data: each gives something valid, changed where the test says so."""
+"""Builders of test data: each returns a valid default with the changes that a test passes."""
 
 import asyncio
 import io
@@ -85,7 +85,7 @@
 
 @asynccontextmanager
 async def running_follower(store: ObjectStore) -> AsyncIterator[ConfigFollower]:
-    """Give a follower that runs until the end of the block."""
+    """Run a configuration follower until the end of the block."""
     follower = build_follower(store)
     task = asyncio.create_task(follower.run())
     try:
@@ -95,7 +95,7 @@
 
 
 def build_record_sync(store: ObjectStore) -> RecordSync:
-    """Build that of a node that knows no other."""
+    """Build the record sync of a node that knows no other nodes."""
     member = build_member()
     logger = build_logger('records')
     return RecordSync(RecordCache(), store, MemberView(), None, lambda: member, Random(1), logger)  # type: ignore[arg-type]
@@ -202,8 +202,11 @@
 
 
 def build_release_call(key: str = '', **changes: Any) -> PendingCall:
-    """Build a call that must run at most once; where a loop runs, for its deadline."""
-    work = build_pending_call(
+    """Build a call that must run at most once.
+
+    Needs a running event loop, whose clock sets the deadline.
+    """
+    pending_call = build_pending_call(
         2,
         rule='release',
         idempotent=False,
@@ -211,11 +214,11 @@
         **{'deadline': asyncio.get_running_loop().time() + 10.0, **changes},
     )
     headers = [(b'idempotency-key', key.encode())] if key else []
-    return work._replace(method='POST', path='/orders/1/release', headers=headers)
+    return pending_call._replace(method='POST', path='/orders/1/release', headers=headers)
 
 
 def build_trace_lines(load: float = 0.5) -> list[str]:
-    """A trace of one service with ten slots on each of two targets."""
+    """Build a trace of one service with two targets of ten slots each."""
     lines: list[dict[str, Any]] = [
         {'kind': 'trace', 'name': 'small', 'duration': 9, 'domains': ['bangor-hall']},
         {'kind': 'service', 'name': 'stock', 'targets': 2, 'slots': 10, 'service_time': 0.1},
@@ -226,7 +229,7 @@
 
 
 class FakeServer:
-    """A target that is always offered more than the limit lets through."""
+    """Simulates a target that always has more requests than its concurrency limit admits."""
 
     def __init__(self, slots: int, service_time: float) -> None:
         self.slots = slots
@@ -234,25 +237,25 @@
         self.now = 0.0
         self.rng = Random(3)
         self.inflight = 0
-        self._free = [0.0] * slots
-        self._ends: list[tuple[float, float, int]] = []
+        self._slot_free_times = [0.0] * slots
+        self._running: list[tuple[float, float, int]] = []  #: end, start, cohort
 
     def run(self, limit: AdaptiveLimit, seconds: float) -> None:
-        until = self.now + seconds
-        while self.now < until:
+        end_time = self.now + seconds
+        while self.now < end_time:
             while self.inflight < limit.value:
                 self._start(limit)
-            end, began, cohort = heappop(self._ends)
+            end, started_at, cohort = heappop(self._running)
             self.now = end
             self.inflight -= 1
-            limit.record_finish(end, cohort, 'read', end - began)
+            limit.record_finish(end, cohort, 'read', end - started_at)
 
     def _start(self, limit: AdaptiveLimit) -> None:
         self.inflight += 1
-        begin = max(self.now, heappop(self._free))
-        end = begin + self.service_time * (0.5 + 0.5 * self.rng.expovariate(1.0))
-        heappush(self._free, end)
-        heappush(self._ends, (end, self.now, limit.record_start(self.inflight)))
+        start = max(self.now, heappop(self._slot_free_times))
+        end = start + self.service_time * (0.5 + 0.5 * self.rng.expovariate(1.0))
+        heappush(self._slot_free_times, end)
+        heappush(self._running, (end, self.now, limit.record_start(self.inflight)))
 
 
 def build_route(name: str = 'r', **changes: Any) -> dict[str, Any]:
@@ -267,12 +270,12 @@
         'attempts': 2,
         **changes,
     }
-    given = {key: value for key, value in specification.items() if value is not None}
-    return {'resourceKind': 'routes', 'metadata': {'name': name}, 'specification': given}
+    present = {key: value for key, value in specification.items() if value is not None}
+    return {'resourceKind': 'routes', 'metadata': {'name': name}, 'specification': present}
 
 
 def build_tenant(name: str = 'org', *keys: str, **changes: Any) -> dict[str, Any]:
-    """Give an organisation as the platform's configuration holds it."""
+    """Build an organisation as a resource of the platform's configuration."""
     specification = {'apiKeys': list(keys or (f'key-of-{name}',)), **changes}
     return {'resourceKind': 'tenants', 'metadata': {'name': name}, 'specification': specification}
 
@@ -301,7 +304,7 @@
 
 
 def build_node_file(**changes: Any) -> dict[str, Any]:
-    """Give the settings file of the platform, as its pages show it."""
+    """Build the settings file that the platform gives a node, as the platform documents it."""
     return {
         'nodeName': 'sidecar-bangor-hall-1',
         'ipAddress': '10.1.0.8',
--- a/tests/clock.py
+++ b/tests/clock.py
@@ -1,4 +1,7 @@
-"""Runs coroutines on a loop whose clock is paused: it jumps when nothing else can run."""
+"""A test case whose event loop has a paused clock.
+
+The clock jumps to the next timer when nothing else can run.
+"""
 
 import asyncio
 from collections.abc import Coroutine
@@ -11,7 +14,7 @@
 
 
 class PausedClockTest(TestCase):
-    """A test case whose coroutines run on a paused clock, with connections in memory."""
+    """Runs coroutines on a paused clock, with connections in memory."""
 
     def run_paused(self, coro: Coroutine[Any, Any, T]) -> T:
         loop = async_solipsism.EventLoop()
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Lets CI pass over the tests that KNOWN-RED.txt names, and prints them."""
+"""Marks the tests that KNOWN-RED.txt lists as expected failures, and prints the list."""
 
 from pathlib import Path
 
@@ -9,7 +9,7 @@
 
 
 def read_known_red() -> dict[str, str]:
-    """Give the lines of KNOWN-RED.txt by the test that each names first."""
+    """Return the lines of KNOWN-RED.txt, keyed by the test id at the start of each line."""
     if not KNOWN_RED.exists():
         return {}
     lines = [line.strip() for line in KNOWN_RED.read_text(encoding='utf-8').splitlines()]
@@ -20,9 +20,9 @@
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
-    known = read_known_red()
+    known_red = read_known_red()
     for item in items:
-        line = known.get(item.nodeid)
+        line = known_red.get(item.nodeid)
         if line is not None:
             item.add_marker(pytest.mark.xfail(reason=line, strict=False))
 
--- a/tests/fakes/pair.py
+++ b/tests/fakes/pair.py
@@ -1,9 +1,6 @@
-"""Two nodes in one loop, the target of one, and a store: small enough for a paused clock."""
-
+"""Two nodes, one target and a store in one event loop, for tests on a paused clock."""
 import asyncio
-
 import msgspec
-
 from dunlinsaddle.calls.client import HttpClient
 from dunlinsaddle.calls.connection import Answered
 from dunlinsaddle.calls.http import HttpLimits, HttpRequest, HttpResponse
@@ -20,10 +17,10 @@
 
 
 class SleepingTarget:
-    """Sleeps as long as a request says, then answers with the number of the request."""
+    """Sleeps for the seconds in the ``sleep`` header, then answers with the ``number`` header."""
 
     def __init__(self, slots: int = 1000) -> None:
-        self.started: dict[str, list[float]] = {}  #: when each number was started
+        self.started: dict[str, list[float]] = {}  #: start times by request number
         self.finished: set[str] = set()
         self.cancelled = 0
         self.slots = asyncio.Semaphore(slots)
@@ -42,7 +39,7 @@
 
 
 class NodePair:
-    """Node ``entry_node`` has no target; node ``target_node`` has one of cut-orders."""
+    """Runs two nodes: ``entry_node`` without a target, ``target_node`` with one of cut-orders."""
 
     def __init__(self, target: SleepingTarget, **record: object) -> None:
         self.target = target
@@ -52,27 +49,27 @@
 
     async def start(self) -> 'NodePair':
         await self.store.put(RECORD_KIND, 'cut-orders', {'record': self.document}, 0)
-        face = HttpListener(self.target.handle, HttpLimits())
-        await face.listen(Address(HOST, 9000))
+        listener = HttpListener(self.target.handle, HttpLimits())
+        await listener.listen(Address(HOST, 9000))
         self.entry_node = await self.start_node('menai-1', 100)
         self.target_node = await self.start_node('bangor-1', 200)
         self.announce_task = asyncio.get_running_loop().create_task(self.announce())
-        # Three announcements: from then on silence is known to mean something.
+        # After three announcements a missing one counts as a sign that the target is gone.
         await asyncio.sleep(4.5)
         return self
 
     async def announce(self) -> None:
-        """Announce the target again and again, as real ones do, also while it drains."""
-        said = msgspec.json.encode({'service': 'cut-orders', 'address': f'{HOST}:9000'})
-        req = HttpRequest('POST', '/-/announce', [], said, '')
+        """Announce the target periodically, as real targets do, even while it drains."""
+        announcement = msgspec.json.encode({'service': 'cut-orders', 'address': f'{HOST}:9000'})
+        req = HttpRequest('POST', '/-/announce', [], announcement, '')
         while True:
             await self.client.send(self.target_node.addresses.local, req, 1)
             await asyncio.sleep(ANNOUNCE_INTERVAL_SECONDS)
 
     async def start_node(self, name: str, port: int) -> Node:
         names = ('callers', 'local', 'peers', 'operators')
-        faces = {face: f'{HOST}:{port + n}' for n, face in enumerate(names)}
-        settings = build_settings(instance=name, drain_timeout='30', **faces)
+        addresses = {listener: f'{HOST}:{port + n}' for n, listener in enumerate(names)}
+        settings = build_settings(instance=name, drain_timeout='30', **addresses)
         node = Node(settings, build_environment(), build_logger())
         node.use_store(self.store)
         await node.start()
@@ -81,16 +78,21 @@
     async def send(
         self, address: Address, method: str, path: str, body: bytes = b'', **headers: str
     ) -> HttpResponse | None:
-        """Send a request; None where the port was closed. Raises when an answer was cut."""
-        named = [(n.replace('_', '-').encode(), v.encode()) for n, v in headers.items()]
-        exchange = await self.client.send(address, HttpRequest(method, path, named, body, ''), 60)
+        """Send a request and return its response, or None when the port is closed.
+
+        Raises AssertionError when the connection is lost before the response is complete.
+        """
+        header_list = [(n.replace('_', '-').encode(), v.encode()) for n, v in headers.items()]
+        exchange = await self.client.send(
+            address, HttpRequest(method, path, header_list, body, ''), 60
+        )
         match exchange:
             case Answered(response):
                 return response
             case NotSent():
                 return None
             case Lost(detail):
-                raise AssertionError(f'{path} was cut: {detail}')
+                raise AssertionError(f'connection lost during {path}: {detail}')
 
     async def call(self, node: Node, number: int = 0, **headers: str) -> HttpResponse | None:
         path = f'/cut-orders/orders/{number}'
--- a/tests/fleet_case.py
+++ b/tests/fleet_case.py
@@ -1,4 +1,4 @@
-"""A test case over real processes: a platform, nodes and targets on loopback."""
+"""A test case that runs a platform, nodes and targets as processes on loopback."""
 
 import asyncio
 import tempfile
@@ -22,7 +22,7 @@
 
 
 class FleetCase(TestCase):
-    """Stops at its end whatever it started."""
+    """Starts a fleet of processes, and stops all of them after the test."""
 
     def setUp(self):
         super().setUp()
@@ -36,7 +36,7 @@
             self.fleet.deploy(name, TargetSpec('cut-orders', domain, slots, seconds))
 
     def run_command(self, name: str, *argv: str) -> Any:
-        """Run the command line against one node; gives the JSON it wrote."""
+        """Run the command-line tool against one node and return its JSON output."""
         return msgspec.json.decode(
             run_operator_command(
                 self.fleet.deployments[name].listeners['operators'], *argv, '--json'
@@ -44,46 +44,46 @@
         )
 
     def apply_record(self, name: str, service: str = 'cut-orders', **changes: Any) -> int:
-        """Write a record through one node; gives its version."""
+        """Write a service record through one node and return its version."""
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / f'{service}.json'
             path.write_bytes(msgspec.json.encode(build_document(service, **changes)))
             return self.run_command(name, 'apply', str(path))[0]['version']
 
     def call(self, placed: Deployment, path: str = '/cut-orders/orders/17') -> HttpResponse | None:
-        """Send one call by the caller face of a node."""
+        """Send one call to the listener of a node for callers."""
 
-        async def once() -> HttpResponse | None:
+        async def send() -> HttpResponse | None:
             caller = Caller()
             response = await caller.call(parse_address(placed.listeners['callers']), 'GET', path)
             caller.close()
             return response
 
-        return asyncio.run(once())
+        return asyncio.run(send())
 
     def wait_for_answer(self, placed: Deployment) -> bytes:
-        """Give the body of the first call that is answered by a target."""
-        found: list[bytes] = []
+        """Call until a target answers, and return the body of its answer."""
+        bodies: list[bytes] = []
 
-        def look() -> bool:
+        def is_answered() -> bool:
             response = self.call(placed)
             if response is not None and response.status == 200:
-                found.append(response.body)
-            return bool(found)
-
-        self.wait_until(TIMEOUT_SECONDS, look)
-        return found[0]
-
-    def wait_until(self, limit: float, holds: Callable[[], bool]) -> float:
-        """Wait until something holds; gives the seconds it took."""
-        began = time.monotonic()
-        while not holds():
-            if time.monotonic() - began > limit:
-                raise AssertionError(f'not within {limit} s: {self.observe_targets()}')
+                bodies.append(response.body)
+            return bool(bodies)
+
+        self.wait_until(TIMEOUT_SECONDS, is_answered)
+        return bodies[0]
+
+    def wait_until(self, timeout: float, condition: Callable[[], bool]) -> float:
+        """Wait until a condition holds, and return the seconds it took."""
+        started_at = time.monotonic()
+        while not condition():
+            if time.monotonic() - started_at > timeout:
+                raise AssertionError(f'not within {timeout} s: {self.observe_targets()}')
             time.sleep(0.01)
-        return time.monotonic() - began
+        return time.monotonic() - started_at
 
-    def observe_targets(self, by: str = '', field: str = 'state') -> dict[str, str]:
-        """Give a field of each target as one node sees it."""
-        rows = self.run_command(by or next(iter(self.fleet.deployments)), 'targets')
+    def observe_targets(self, observer: str = '', field: str = 'state') -> dict[str, str]:
+        """Return one field of each target as one node sees it, by instance."""
+        rows = self.run_command(observer or next(iter(self.fleet.deployments)), 'targets')
         return {row['instance']: row[field] for row in rows}
