--- a/tests/fleet_case.py
+++ b/tests/fleet_case.py
@@ -50,23 +50,27 @@
             path.write_bytes(msgspec.json.encode(build_document(service, **changes)))
             return self.run_command(name, 'apply', str(path))[0]['version']
 
-    def call(self, placed: Deployment, path: str = '/cut-orders/orders/17') -> HttpResponse | None:
+    def call(
+        self, deployment: Deployment, path: str = '/cut-orders/orders/17'
+    ) -> HttpResponse | None:
         """Send one call to the listener of a node for callers."""
 
         async def send() -> HttpResponse | None:
             caller = Caller()
-            response = await caller.call(parse_address(placed.listeners['callers']), 'GET', path)
+            response = await caller.call(
+                parse_address(deployment.listeners['callers']), 'GET', path
+            )
             caller.close()
             return response
 
         return asyncio.run(send())
 
-    def wait_for_answer(self, placed: Deployment) -> bytes:
+    def wait_for_answer(self, deployment: Deployment) -> bytes:
         """Call until a target answers, and return the body of its answer."""
         bodies: list[bytes] = []
 
         def is_answered() -> bool:
-            response = self.call(placed)
+            response = self.call(deployment)
             if response is not None and response.status == 200:
                 bodies.append(response.body)
             return bool(bodies)
--- a/tests/test_membership_processes.py
+++ b/tests/test_membership_processes.py
@@ -18,8 +18,8 @@
         self.wait_until(3.5, lambda: self.observe_targets()['n3'] == 'suspect')
         self.wait_until(8, lambda: self.observe_targets()['n3'] == 'dead')
 
-    def test_a_frozen_node_comes_back_when_it_goes_on(self):
-        # The node stands still for four seconds, long enough to be suspected everywhere.
+    def test_a_paused_node_is_alive_again_after_it_resumes(self):
+        # The pause is long enough for every node to suspect it.
         node = self.fleet.deployments['n3'].node
         node.kill(signal.SIGSTOP)
         self.wait_until(3.5, lambda: self.observe_targets()['n3'] == 'suspect')
@@ -33,8 +33,8 @@
         self.wait_until(2, lambda: self.observe_targets()['n3'] == 'left')
 
     def test_the_node_withdraws_the_service_of_a_killed_target(self):
-        # The node is well and says so; calls sent there would all be refused. The target's
-        # announcements stop and its port refuses, so the node withdraws its service.
+        # The node itself is alive, but calls routed to it would all be refused. The target stops
+        # announcing itself and its port is closed, so the node withdraws the service.
         self.fleet.deployments['n3'].target.kill()
         self.wait_until(3.0, lambda: self.observe_targets(field='service')['n3'] == '')
         self.assertEqual('alive', self.observe_targets()['n3'])
--- a/tests/test_once_processes.py
+++ b/tests/test_once_processes.py
@@ -36,7 +36,7 @@
         self, scenario: Callable[[], Awaitable[None]], names: Collection[str] = DOMAINS
     ) -> None:
         async def run() -> None:
-            await self.ranges_shared(names)
+            await self.wait_for_owners(names)
             await scenario()
             self.caller.close()
 
@@ -47,7 +47,7 @@
         assert response is not None
         return msgspec.json.decode(response.body)
 
-    async def owners(self) -> list[str]:
+    async def read_owners(self) -> list[str]:
         stored = await self.fetch(self.fleet.platform_address, '/objects/ranges/cut-orders')
         if not stored:
             return []
@@ -57,24 +57,24 @@
             if row
         ]
 
-    async def ranges_shared(self, names: Collection[str]) -> None:
+    async def wait_for_owners(self, names: Collection[str]) -> None:
         deadline = time.monotonic() + TIMEOUT_SECONDS
         while time.monotonic() < deadline:
-            owners = await self.owners()
+            owners = await self.read_owners()
             if len(owners) == RANGE_COUNT and set(owners) == set(names):
                 return
             await asyncio.sleep(0.2)
         raise AssertionError(f'ranges after {TIMEOUT_SECONDS} s: {Counter(owners)}')
 
-    async def ranges_left_by(self, name: str) -> None:
+    async def wait_for_ranges_released_by(self, name: str) -> None:
         deadline = time.monotonic() + TIMEOUT_SECONDS
-        while name in await self.owners():
+        while name in await self.read_owners():
             self.assertLess(time.monotonic(), deadline, f'{name} still owns ranges')
             await asyncio.sleep(0.2)
 
-    async def mint(self, owner: str) -> str:
-        wanted = [n for n, name in enumerate(await self.owners()) if name == owner]
-        return generate_key(int(time.time() * 1000), self.rng, 'cut-orders', wanted).text
+    async def generate_key_owned_by(self, owner: str) -> str:
+        ranges = [index for index, name in enumerate(await self.read_owners()) if name == owner]
+        return generate_key(int(time.time() * 1000), self.rng, 'cut-orders', ranges).text
 
     async def fetch_key(self, entry: str) -> str:
         address = parse_address(self.fleet.deployments[entry].listeners['callers'])
@@ -82,12 +82,12 @@
         assert response is not None
         return msgspec.json.decode(response.body)['key']
 
-    async def send(self, entry: str, key: str) -> HttpResponse | None:
+    async def send_release(self, entry: str, key: str) -> HttpResponse | None:
         address = parse_address(self.fleet.deployments[entry].listeners['callers'])
         headers = [(b'idempotency-key', key.encode())]
         return await self.caller.call(address, 'POST', RELEASE, headers, timeout=5.0)
 
-    async def runs(self, *names: str) -> Counter[str]:
+    async def read_run_counts(self, *names: str) -> Counter[str]:
         total: Counter[str] = Counter()
         for name in names or DOMAINS:
             total.update(await self.fetch(self.fleet.deployments[name].target_address, '/-/runs'))
@@ -98,47 +98,47 @@
         return dict(response.headers)[b'dunlinsaddle-outcome'].decode()
 
     def test_owner_killed_while_its_target_runs_the_key(self):
-        # The caller's first call is lost with the node that had it; the target finishes the
-        # work all the same. Each resend is told "unknown", and nobody runs the key again.
+        # The first call is lost with the owner node, but the target finishes the work. Each resend
+        # gets the outcome "unknown", and no target runs the key again.
         async def scenario() -> None:
-            # Three fit into the first limit of a cold target, so that all of them are running.
-            keys = [await self.mint('bangor-1') for _ in range(3)]
-            first = [asyncio.create_task(self.send('menai-1', key)) for key in keys]
+            # Three calls fit into the initial limit of a new target, so all of them are running.
+            keys = [await self.generate_key_owned_by('bangor-1') for _ in range(3)]
+            first_calls = [asyncio.create_task(self.send_release('menai-1', key)) for key in keys]
             await asyncio.sleep(RUN_SECONDS / 2)
             self.fleet.deployments['bangor-1'].node.kill()
-            outcomes = Counter([self.outcome(await task) for task in first])
+            outcomes = Counter([self.outcome(await task) for task in first_calls])
             for entry in ('menai-1', 'caernarfon-1') * 2:
-                outcomes.update([self.outcome(await self.send(entry, key)) for key in keys])
+                outcomes.update([self.outcome(await self.send_release(entry, key)) for key in keys])
             self.assertEqual({'unknown': 15}, dict(outcomes))
-            self.assertEqual(dict.fromkeys(keys, 1), dict(await self.runs()))
+            self.assertEqual(dict.fromkeys(keys, 1), dict(await self.read_run_counts()))
 
         self.run_scenario(scenario)
 
-    def test_killed_owner_is_followed_at_its_own_address(self):
-        # A node with a fixed peers address is stopped: a second one cannot listen there, and
-        # nothing is taken over. Killed and started again, it closes its former run's ranges
-        # some 31 s ahead in place of 300.
-        with socket.socket() as free:
-            free.bind(('127.0.0.1', 0))
-            peers = f'127.0.0.1:{free.getsockname()[1]}'
+    def test_restarted_owner_replaces_its_killed_predecessor(self):
+        # While a node with a fixed peers address is paused, a second one cannot listen on that
+        # address, and takes over nothing. After the first one was killed, a new one ends the
+        # ownership of the former run within about 31 s in place of 300 s.
+        with socket.socket() as free_socket:
+            free_socket.bind(('127.0.0.1', 0))
+            peers = f'127.0.0.1:{free_socket.getsockname()[1]}'
         spec = TargetSpec('cut-orders', 'bangor-hall', 50, RUN_SECONDS)
         former = self.fleet.deploy('bangor-2', spec, peers=peers)
 
         async def scenario() -> None:
             former.node.kill(signal.SIGSTOP)
-            # Its first line says why it ends, not where it listens.
+            # The first line of output is the reason why it ends, not its addresses.
             start = self.fleet.start_node
             self.assertRaises(ValueError, start, 'bangor-2', 'bangor-hall', peers=peers)
-            self.assertIn('bangor-2', await self.owners())
+            self.assertIn('bangor-2', await self.read_owners())
             former.node.kill()
             former.node.popen.wait()
             former.target.stop()
             self.fleet.deploy('bangor-2', spec, peers=peers)
-            await self.former_run_closed('bangor-2')
+            await self.check_former_ranges_end('bangor-2')
 
         self.run_scenario(scenario, {*DOMAINS, 'bangor-2'})
 
-    async def former_run_closed(self, name: str) -> None:
+    async def check_former_ranges_end(self, name: str) -> None:
         deadline = time.monotonic() + TIMEOUT_SECONDS
         while time.monotonic() < deadline:
             stored = await self.fetch(self.fleet.platform_address, '/objects/ranges/cut-orders')
@@ -147,55 +147,59 @@
             if len(epochs) == 2:
                 break
             await asyncio.sleep(0.2)
-        ends = [
+        seconds_left = [
             former.until / 1000 - time.time()
             for row in rows
-            for former, after in pairwise(row)
-            if former.owner.instance == after.owner.instance == name
+            for former, successor in pairwise(row)
+            if former.owner.instance == successor.owner.instance == name
         ]
-        self.assertNotEqual([], ends)
-        self.assertTrue(min(ends) > 20 and max(ends) < 32, ends)
+        self.assertNotEqual([], seconds_left)
+        self.assertTrue(min(seconds_left) > 20 and max(seconds_left) < 32, seconds_left)
 
-    def test_owner_frozen_while_it_runs_the_key(self):
-        # The owner's process stops for 2 s. The first call and a resend end as "unknown", for
-        # the link went silent. Once it runs again, the owner knows how the run ended.
+    def test_owner_paused_while_it_runs_the_key(self):
+        # The owner's process is paused for 2 s. The first call and a resend get "unknown", because
+        # the link is silent. Once it runs again, the owner knows the outcome.
         async def scenario() -> None:
-            key, node = await self.mint('bangor-1'), self.fleet.deployments['bangor-1'].node
-            first = asyncio.create_task(self.send('menai-1', key))
+            key, node = (
+                await self.generate_key_owned_by('bangor-1'),
+                self.fleet.deployments['bangor-1'].node,
+            )
+            first = asyncio.create_task(self.send_release('menai-1', key))
             await asyncio.sleep(RUN_SECONDS / 2)
             node.kill(signal.SIGSTOP)
-            second = asyncio.create_task(self.send('caernarfon-1', key))
+            second = asyncio.create_task(self.send_release('caernarfon-1', key))
             await asyncio.sleep(2.5)
             node.kill(signal.SIGCONT)
             self.assertEqual('unknown', self.outcome(await first))
             self.assertEqual('unknown', self.outcome(await second))
             await asyncio.sleep(1)
             for entry in DOMAINS:
-                self.assertEqual('done', self.outcome(await self.send(entry, key)))
-            self.assertEqual({key: 1}, dict(await self.runs()))
+                self.assertEqual('done', self.outcome(await self.send_release(entry, key)))
+            self.assertEqual({key: 1}, dict(await self.read_run_counts()))
 
         self.run_scenario(scenario)
 
     def test_owner_drained_under_calls(self):
-        # The owner is told to stop while it runs keys: those end whole. Keys that come later
-        # run at its heirs; nothing is refused as "not run" that ran.
+        # The owner gets SIGTERM while it runs a key, and completes it. Later keys run at the nodes
+        # that took over its ranges. No key that has run is reported as "not run".
         async def scenario() -> None:
-            key = await self.mint('bangor-1')
-            first = asyncio.create_task(self.send('menai-1', key))
+            key = await self.generate_key_owned_by('bangor-1')
+            first = asyncio.create_task(self.send_release('menai-1', key))
             await asyncio.sleep(RUN_SECONDS / 2)
             self.fleet.deployments['bangor-1'].node.kill(signal.SIGTERM)
             self.assertEqual('done', self.outcome(await first))
-            self.assertNotIn('bangor-1', await self.owners())
-            keys = [await self.mint(name) for name in ('menai-1', 'caernarfon-1')]
+            self.assertNotIn('bangor-1', await self.read_owners())
+            keys = [await self.generate_key_owned_by(name) for name in ('menai-1', 'caernarfon-1')]
             for key in [*keys, await self.fetch_key('menai-1')]:
-                self.assertEqual('done', self.outcome(await self.send('caernarfon-1', key)))
-            self.assertEqual({1}, set((await self.runs()).values()))
+                self.assertEqual('done', self.outcome(await self.send_release('caernarfon-1', key)))
+            self.assertEqual({1}, set((await self.read_run_counts()).values()))
 
         self.run_scenario(scenario)
 
     def test_rolling_restart_under_calls(self):
-        # Each node drains, ends and comes back at its addresses while calls go on. At the end
-        # the caller sends each key again by another entry: it gets the answer of the one run.
+        # Each node drains, ends and restarts at the same addresses while calls go on. At the end
+        # the caller resends each key through another entry node, and gets the result of its only
+        # run.
         async def scenario() -> None:
             sent: dict[str, asyncio.Task[HttpResponse | None]] = {}
             load = asyncio.create_task(self.send_new_keys(sent))
@@ -204,13 +208,17 @@
                 await asyncio.sleep(2)
             load.cancel()
             await asyncio.gather(*sent.values())
-            again = {key: self.outcome(await self.send('menai-1', key)) for key in sent}
-            runs = await self.runs()
-            counts = f'{Counter(again.values())} of {len(sent)}, {len(runs)} ran'
+            resend_outcomes = {
+                key: self.outcome(await self.send_release('menai-1', key)) for key in sent
+            }
+            run_counts = await self.read_run_counts()
+            counts = f'{Counter(resend_outcomes.values())} of {len(sent)}, {len(run_counts)} ran'
             self.addDetail('outcomes', text_content(counts))
-            self.assertEqual({1}, set(runs.values()))
+            self.assertEqual({1}, set(run_counts.values()))
             self.assertGreater(len(sent), 100)
-            self.assertEqual(set(runs), {key for key in sent if again[key] == 'done'})
+            self.assertEqual(
+                set(run_counts), {key for key in sent if resend_outcomes[key] == 'done'}
+            )
 
         self.run_scenario(scenario)
 
@@ -218,7 +226,7 @@
         while True:
             key = generate_key(int(time.time() * 1000), self.rng, 'cut-orders').text
             entry = self.rng.choice(list(DOMAINS))
-            sent[key] = asyncio.create_task(self.send(entry, key))
+            sent[key] = asyncio.create_task(self.send_release(entry, key))
             await asyncio.sleep(0.06)
 
     async def restart(self, name: str) -> None:
@@ -230,22 +238,24 @@
         self.fleet.deployments[name] = placed._replace(node=node, listeners=faces)
 
     def test_target_killed_while_it_runs_a_call_without_a_key(self):
-        # No key came, so no resend can be told from a new call; but the system's own retries
-        # must not run it twice. The answer is "unknown", although other targets are idle.
+        # Without a key, a resend cannot be told from a new call, but the system's own retries must
+        # not run the call twice. The outcome is "unknown", although other targets are idle.
         async def scenario() -> None:
             address = parse_address(self.fleet.deployments['menai-1'].listeners['callers'])
             calls = [self.caller.call(address, 'POST', RELEASE, timeout=5.0) for _ in range(9)]
             tasks = [asyncio.create_task(call) for call in calls]
             await asyncio.sleep(RUN_SECONDS / 2)
-            ran = {name: await self.runs(name) for name in DOMAINS}
-            victim = max(DOMAINS, key=lambda name: len(ran[name]))
+            runs_before = {name: await self.read_run_counts(name) for name in DOMAINS}
+            victim = max(DOMAINS, key=lambda name: len(runs_before[name]))
             self.fleet.deployments[victim].target.kill()
             outcomes = Counter([self.outcome(await task) for task in tasks])
-            after = await self.runs(*(name for name in DOMAINS if name != victim))
-            self.assertEqual({1}, set(ran[victim].values()) | set(after.values()))
-            self.assertEqual(set(), set(ran[victim]) & set(after))
-            self.assertGreaterEqual(outcomes['unknown'], len(ran[victim]))
+            runs_elsewhere = await self.read_run_counts(
+                *(name for name in DOMAINS if name != victim)
+            )
+            self.assertEqual({1}, set(runs_before[victim].values()) | set(runs_elsewhere.values()))
+            self.assertEqual(set(), set(runs_before[victim]) & set(runs_elsewhere))
+            self.assertGreaterEqual(outcomes['unknown'], len(runs_before[victim]))
             self.assertEqual(9, outcomes.total())
-            await self.ranges_left_by(victim)
+            await self.wait_for_ranges_released_by(victim)
 
         self.run_scenario(scenario)
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -1,6 +1,6 @@
 from tests.fleet_case import DOMAINS, TIMEOUT_SECONDS, FleetCase
 
-IN_FORCE_SECONDS = 2.0
+MAX_ROLLOUT_SECONDS = 2.0
 
 
 class RolloutTest(FleetCase):
@@ -12,15 +12,15 @@
         return self.run_command('bangor-1', 'rollout')
 
     def test_accepted_change_is_in_force_in_every_domain(self):
-        # Separate processes over TCP. The change is given to a node of one failure domain;
-        # a node of another one asks members of all three what is in force there.
+        # A node in one failure domain takes the change. A node in another one asks members of all
+        # three failure domains which version is in force there.
         self.wait_until(TIMEOUT_SECONDS, lambda: len(self.rollout()) == len(DOMAINS))
         for number in range(5):
             version = self.apply_record('caernarfon-1', deadline=1.0 + number)
-            taken = self.wait_until(
+            elapsed = self.wait_until(
                 TIMEOUT_SECONDS,
                 lambda version=version: all(
                     row['in_force'].get('cut-orders') == version for row in self.rollout()
                 ),
             )
-            self.assertLess(taken, IN_FORCE_SECONDS)
+            self.assertLess(elapsed, MAX_ROLLOUT_SECONDS)
--- a/tests/test_whole_path.py
+++ b/tests/test_whole_path.py
@@ -3,7 +3,7 @@
 from standins.fleet import TargetSpec
 from tests.fleet_case import FleetCase
 
-ORDERS = {
+TARGETS = {
     'bangor-1': TargetSpec('cut-orders', 'bangor-hall', 10, 0.005, ('/slab-stock/slabs/1',)),
     'caernarfon-1': TargetSpec('cut-orders', 'caernarfon-hall', 10, 0.005, ('/slab-stock/x',)),
     'menai-1': TargetSpec('slab-stock', 'menai-hall', 10, 0.005),
@@ -12,10 +12,9 @@
 
 class WholePathTest(FleetCase):
     def test_calls_are_answered_after_a_node_was_killed(self):
-        # The caller sees answers before and after. A node is killed between two calls, and
-        # the rosters still name it: calls that are routed there never leave the entry node,
-        # which proves that they did not run, so they are sent to the other target.
-        for name, spec in ORDERS.items():
+        # A node is killed between two calls while the rosters still list it. Calls routed to it
+        # cannot be sent, so they have certainly not run and are sent to the other target.
+        for name, spec in TARGETS.items():
             self.fleet.deploy(name, spec)
         entry = self.fleet.deployments['menai-1']
         for service in ('cut-orders', 'slab-stock'):
