--- a/tests/fakes/pair.py
+++ b/tests/fakes/pair.py
@@ -1,6 +1,9 @@
 """Two nodes, one target and a store in one event loop, for tests on a paused clock."""
+
 import asyncio
+
 import msgspec
+
 from dunlinsaddle.calls.client import HttpClient
 from dunlinsaddle.calls.connection import Answered
 from dunlinsaddle.calls.http import HttpLimits, HttpRequest, HttpResponse
--- a/tests/fakes/site.py
+++ b/tests/fakes/site.py
@@ -2,10 +2,15 @@
 
 The links between nodes can be cut, and can lose replies.
 """
+
 import asyncio
-import msgspec
 from collections import Counter
 from collections.abc import Callable
+from random import Random
+from typing import Any
+
+import msgspec
+
 from dunlinsaddle.calls.client import HttpClient
 from dunlinsaddle.calls.connection import Answered
 from dunlinsaddle.calls.http import HttpLimits, HttpRequest, HttpResponse
@@ -15,10 +20,8 @@
 from dunlinsaddle.node import Node
 from dunlinsaddle.records.changes import RECORD_KIND
 from dunlinsaddle.settings import Address
-from random import Random
 from tests.builders import build_document, build_environment, build_logger, build_settings
 from tests.fakes.store import FakeStore
-from typing import Any
 
 HOST = '127.0.0.1'
 CALL_HEADER = b'dunlinsaddle-call'
--- a/tests/test_fuzz_listeners.py
+++ b/tests/test_fuzz_listeners.py
@@ -1,8 +1,9 @@
-
 import asyncio
-import msgspec
 import random
 import resource
+
+import msgspec
+
 from dunlinsaddle.calls.frames import Role, make_proof
 from dunlinsaddle.calls.messages import Challenge, Frame, Hello, Ping, Welcome
 from dunlinsaddle.records.changes import RECORD_KIND
