--- a/dunlinsaddle/access/authentication.py
+++ b/dunlinsaddle/access/authentication.py
@@ -14,7 +14,8 @@
 #: Retry-After of a call whose parent request is unknown. A node that restarted beside a running
 #: target knows none of the target's requests, and these end within about a second.
 UNKNOWN_PARENT_RETRY_AFTER_SECONDS = 1.0
-#: Retry-After of a partitioned node; most partitions last longer than a moment.
+#: Retry-After of a node whose configuration lease has expired, mostly in a network partition;
+#: few partitions end sooner.
 STALE_RETRY_AFTER_SECONDS = 1.0
 #: Longest wait of a request whose key was in no configuration that this node has held. A lease
 #: renewal that arrives within this time usually confirms a moment after the request's arrival.
@@ -39,27 +40,27 @@
         self.follower = follower
         self.configuration_lease = configuration_lease
 
-    async def wait_for_key_status(self, terms: CallerHeaders) -> bool:
-        """Wait for a configuration that may hold an unknown key; return whether that is decided.
+    async def wait_for_key_status(self, caller_headers: CallerHeaders) -> bool:
+        """Wait for a configuration that may contain an unknown key; return whether that is known.
 
         Failure: a key was just added, and a node without the new configuration answers 401, which
         callers treat as final. A 401 therefore requires a lease renewal that confirms a moment
         after the request's arrival. Keys that were held before are not waited for: a revoked key
         is refused at once.
         """
-        if self._known(terms.key_digest):
+        if self._is_key_known(caller_headers.key_digest):
             return True
         arrived_at = self.configuration_lease.clock()
 
         def is_decided() -> bool:
-            return self.configuration_lease.confirmed_at >= arrived_at or self._known(
-                terms.key_digest
+            return self.configuration_lease.confirmed_at >= arrived_at or self._is_key_known(
+                caller_headers.key_digest
             )
 
         await self.configuration_lease.wait_for(is_decided, CONFIRMATION_TIMEOUT_SECONDS)
         return is_decided()
 
-    def _known(self, key: bytes) -> bool:
+    def _is_key_known(self, key: bytes) -> bool:
         table = self.follower.table
         if not key or table is None or not table.requires_keys:
             return True
@@ -67,7 +68,7 @@
 
     def authenticate(
         self,
-        terms: CallerHeaders,
+        caller_headers: CallerHeaders,
         table: RouteTable,
         route: Route,
         parent: RunningCall | None,
@@ -76,11 +77,12 @@
     ) -> Result[CallerOrganisation, Failure]:
         """Return the organisation that holds the request's key, or why the request is refused.
 
-        Calls of the target beside the node carry no key. One is known by its id, which extends
-        that of a request that runs there, and counts for that request's organisation. An id that
-        extends one which does not run here proves nothing: its caller may be the target, whose
-        request was lost with the process before this one, or somebody who hopes to pass without a
-        key. Such a call gets 503: 401 would be wrong for the target, and admission for the other.
+        Calls of the local target carry no key. Such a call is recognised by its id, which extends
+        the id of a request that the target is running, and is made for that request's organisation.
+        An id that extends the id of no running request proves nothing. The caller may be the local
+        target, whose request this node forgot when it restarted, or a stranger that tries to avoid
+        authentication. The call gets 503: 401 would be wrong for the target, and a stranger must
+        not be admitted.
         """
         if not table.requires_keys or parent is not None:
             return Ok(None)
@@ -88,15 +90,15 @@
             return Ok(
                 None
                 if self.configuration_lease.expired
-                else table.find_key_holder(terms.key_digest)
+                else table.find_key_holder(caller_headers.key_digest)
             )
-        if not terms.key_digest and is_derived_request_id(terms.request_id):
+        if not caller_headers.key_digest and is_derived_request_id(caller_headers.request_id):
             return Err(Failure(ErrorKind.PARENT_UNKNOWN, '', UNKNOWN_PARENT_RETRY_AFTER_SECONDS))
-        if terms.key_digest and self.configuration_lease.expired:
+        if caller_headers.key_digest and self.configuration_lease.expired:
             return Err(
                 Failure(ErrorKind.STALE_CONFIGURATION, 'no proof', STALE_RETRY_AFTER_SECONDS)
             )
-        holder = table.find_key_holder(terms.key_digest)
+        holder = table.find_key_holder(caller_headers.key_digest)
         if holder is not None:
             return Ok(holder)
         if not key_status_known:
--- a/dunlinsaddle/access/configuration_lease.py
+++ b/dunlinsaddle/access/configuration_lease.py
@@ -5,8 +5,8 @@
 from collections.abc import Callable
 
 #: Fraction of the revocation limit after which the lease expires. The rest covers differences
-#: between clocks, and a store whose watches report nothing for a second while it drops its
-#: history.
+#: between clocks, and the second for which the watches of a store report nothing while it
+#: discards its history.
 EXPIRY_FRACTION = 0.75
 
 
--- a/dunlinsaddle/access/lender_client.py
+++ b/dunlinsaddle/access/lender_client.py
@@ -10,7 +10,7 @@
 from dunlinsaddle.membership.messages import QuotaMessage, QuotaRequest, QuotaResponse, QuotaStatus
 from dunlinsaddle.policy.quota import Granted, QuotaDecision, RetryLater
 
-#: Seconds after which a question is sent once more: datagrams get lost, and an answer takes some
+#: Seconds after which a request is sent once more: datagrams get lost, and an answer takes some
 #: milliseconds.
 RESEND_SECONDS = 0.06
 #: Seconds after the latest request for which a lender's silence is meaningful.
@@ -39,10 +39,10 @@
         self.peers = peers
         self.queries_sent = 0
         #: Starts at random, so that a restarted node does not reuse the number of an old request.
-        self._last_number = secrets.randbits(48)
+        self._last_correlation_id = secrets.randbits(48)
         self._pending: dict[int, asyncio.Future[QuotaResponse | None]] = {}
-        self._asked_at: dict[str, float] = {}
-        self._unanswered: dict[str, float] = {}  #: since when
+        self._requested_at: dict[str, float] = {}
+        self._unanswered_since: dict[str, float] = {}  #: time of the first unanswered request
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def ask(
@@ -52,17 +52,17 @@
 
         Returns None if it does not answer within ``timeout`` seconds or does not lend this quota.
         """
-        self._last_number += 1
-        number = self._last_number
+        self._last_correlation_id += 1
+        number = self._last_correlation_id
         message_header = self.peers.message_header()
-        ask = QuotaRequest(
+        request = QuotaRequest(
             **message_header, correlation_id=number, organisation=organisation, relayed=relayed
         )
         fut: asyncio.Future[QuotaResponse | None] = self.loop.create_future()
         self._pending[number] = fut
-        self._note_asked(lender)
-        self.peers.send(lender, ask)
-        resend_timer = self.loop.call_later(RESEND_SECONDS, self.peers.send, lender, ask)
+        self._record_request(lender)
+        self.peers.send(lender, request)
+        resend_timer = self.loop.call_later(RESEND_SECONDS, self.peers.send, lender, request)
         timeout_timer = self.loop.call_later(timeout, _give_up, fut)
         try:
             return _decision_of(await fut)
@@ -79,20 +79,20 @@
 
     def mark_alive(self, instance: str) -> None:
         """Record that a message came from a node."""
-        self._unanswered.pop(instance, None)
+        self._unanswered_since.pop(instance, None)
 
     def silent_seconds(self, instance: str) -> float:
         """Return for how many seconds a node has left requests unanswered."""
         now = self.now()
-        return now - self._unanswered.get(instance, now)
+        return now - self._unanswered_since.get(instance, now)
 
     def was_asked_recently(self, instance: str) -> bool:
         """Return whether a node was asked so recently that its silence is meaningful."""
-        return self._since_asked(instance) < SILENCE_VALID_SECONDS
+        return self._seconds_since_request(instance) < SILENCE_VALID_SECONDS
 
     def probe(self, instance: str) -> None:
-        """Look whether a silent node is back, without waiting for it."""
-        if self._since_asked(instance) >= PROBE_INTERVAL_SECONDS:
+        """Check in the background whether a silent node answers again."""
+        if self._seconds_since_request(instance) >= PROBE_INTERVAL_SECONDS:
             self.spawn(self._send_probe(instance))
 
     def spawn(self, coro: Coroutine[Any, Any, None]) -> None:
@@ -104,37 +104,37 @@
     async def _send_probe(self, instance: str) -> None:
         await self.ask(instance, '', PROBE_TIMEOUT_SECONDS, relayed=True)
 
-    def _note_asked(self, lender: str) -> None:
+    def _record_request(self, lender: str) -> None:
         now = self.now()
         self.queries_sent += 1
         if not self.was_asked_recently(lender):
             # An answer that was lost long ago does not mean that the lender is silent now.
-            self._unanswered.pop(lender, None)
-        self._asked_at[lender] = now
-        self._unanswered.setdefault(lender, now)
+            self._unanswered_since.pop(lender, None)
+        self._requested_at[lender] = now
+        self._unanswered_since.setdefault(lender, now)
 
-    def _since_asked(self, instance: str) -> float:
-        return self.now() - self._asked_at.get(instance, -math.inf)
+    def _seconds_since_request(self, instance: str) -> float:
+        return self.now() - self._requested_at.get(instance, -math.inf)
 
 
 def build_answer(
-    ask: QuotaRequest, decision: QuotaDecision | None, message_header: dict[str, Any]
+    request: QuotaRequest, decision: QuotaDecision | None, message_header: dict[str, Any]
 ) -> QuotaResponse:
     """Build the answer to a quota request; no decision means that this node does not lend it."""
     match decision:
         case Granted():
             return QuotaResponse(
-                **message_header, correlation_id=ask.correlation_id, status=QuotaStatus.GRANTED
+                **message_header, correlation_id=request.correlation_id, status=QuotaStatus.GRANTED
             )
         case RetryLater(seconds):
             return QuotaResponse(
                 **message_header,
-                correlation_id=ask.correlation_id,
+                correlation_id=request.correlation_id,
                 status=QuotaStatus.EXHAUSTED,
                 wait_seconds=seconds,
             )
     return QuotaResponse(
-        **message_header, correlation_id=ask.correlation_id, status=QuotaStatus.NOT_LENDER
+        **message_header, correlation_id=request.correlation_id, status=QuotaStatus.NOT_LENDER
     )
 
 
--- a/dunlinsaddle/access/peers.py
+++ b/dunlinsaddle/access/peers.py
@@ -8,8 +8,8 @@
 from dunlinsaddle.membership.messages import QuotaMessage
 from dunlinsaddle.membership.view import MemberView, State
 
-#: Seconds for which a dead node counts as one that may still lend beyond a network partition.
-#: After that it counts as gone, and the other nodes lend its part.
+#: Seconds for which a node declared dead may still lend on the other side of a network partition.
+#: After that the remaining nodes lend its share.
 RECENTLY_DEAD_SECONDS = 60.0
 
 
@@ -28,7 +28,7 @@
         """Return the nodes that are not gone, and the share of all nodes surely reachable."""
         live = [m for m in self.view.members() if not m.is_gone]
         # Suspicions count at once. When a fleet is partitioned, half of it is suspected long
-        # before it is declared dead, and both sides lend meanwhile.
+        # before it is declared dead, and until then both sides lend.
         suspected = sum(m.state is State.SUSPECT for m in live)
         missing = max(self._count_recently_dead(), self.count_unreached())
         share = (len(live) - suspected) / max(len(live) + missing, 1)
--- a/dunlinsaddle/access/quotas.py
+++ b/dunlinsaddle/access/quotas.py
@@ -18,7 +18,7 @@
 from dunlinsaddle.policy.quota import Granted, HashRing, QuotaDecision, QuotaLedger, RetryLater
 from dunlinsaddle.routes.models import Organisation
 
-#: Seconds without an answer after which a lender counts as silent and the next one is asked.
+#: Seconds without a response after which a lender counts as silent and the next one is asked.
 LENDER_TIMEOUT_SECONDS = 0.16
 #: Seconds that a substitute waits for the lender before it. This is longer than the wait of other
 #: nodes: a lender that is too slow for them but not for the substitute continues to lend through
@@ -93,8 +93,8 @@
         if not self.ring.update(names):
             return
         self._members_changed_at = now
-        lent_here = self.ledger.organisations()
-        self.ledger.reset(now, [org for org in lent_here if self._is_first_lender(org)])
+        lent_organisations = self.ledger.organisations()
+        self.ledger.reset(now, [org for org in lent_organisations if self._is_first_lender(org)])
 
     async def acquire(self, organisation: Organisation | None) -> Result[QuotaLease, Failure]:
         """Acquire quota for one request; an error says when to retry."""
@@ -148,34 +148,37 @@
             case QuotaReturn(organisation=organisation):
                 self.ledger.refund(organisation)
             case QuotaRequest():
-                self._handle_ask(message)
+                self._handle_request(message)
 
-    def _handle_ask(self, ask: QuotaRequest) -> None:
-        key = (ask.sender, ask.correlation_id)
+    def _handle_request(self, request: QuotaRequest) -> None:
+        key = (request.sender, request.correlation_id)
         if key in self._answers:
             # The sender resent the request as the answer was late: do not lend twice for it.
             answer = self._answers[key]
             if answer is not None:
-                self.peers.send(ask.sender, answer)
+                self.peers.send(request.sender, answer)
             return
         self._answers[key] = None
         if len(self._answers) > MAX_REMEMBERED_ANSWERS:
             self._answers.popitem(last=False)
-        if ask.relayed or self._is_first_lender(ask.organisation):
-            self._send_answer(ask, self._lend(ask.organisation))
+        if request.relayed or self._is_first_lender(request.organisation):
+            self._send_answer(request, self._lend(request.organisation))
         else:
-            self.lender_client.spawn(self._decide_and_answer(ask))
+            self.lender_client.spawn(self._decide_and_answer(request))
 
-    async def _decide_and_answer(self, ask: QuotaRequest) -> None:
-        self._send_answer(ask, await self._decide(ask.organisation))
+    async def _decide_and_answer(self, request: QuotaRequest) -> None:
+        self._send_answer(request, await self._decide(request.organisation))
 
-    def _send_answer(self, ask: QuotaRequest, decision: QuotaDecision | None) -> None:
-        answer = build_answer(ask, decision, self.peers.message_header())
-        self._answers[ask.sender, ask.correlation_id] = answer
-        self.peers.send(ask.sender, answer)
+    def _send_answer(self, request: QuotaRequest, decision: QuotaDecision | None) -> None:
+        answer = build_answer(request, decision, self.peers.message_header())
+        self._answers[request.sender, request.correlation_id] = answer
+        self.peers.send(request.sender, answer)
 
     async def _decide(self, organisation: str) -> QuotaDecision | None:
-        """Decide as first lender, or as substitute for silent ones; return None as neither."""
+        """Decide as the first lender or as a substitute for silent lenders.
+
+        Returns None if this node is neither.
+        """
         for lender in self.ring.lenders(organisation):
             if lender == self.instance:
                 break
@@ -193,16 +196,22 @@
     def _lend(self, organisation: str) -> QuotaDecision | None:
         """Decide from this node's own bucket; return None if it may not lend this quota."""
         lenders = self.ring.lenders(organisation)
-        known = self.find_organisation(organisation)
-        starting = self._is_starting()
-        if known is None or self.instance not in lenders or (starting and self._knows_too_few()):
+        configured = self.find_organisation(organisation)
+        is_starting = self._is_starting()
+        if (
+            configured is None
+            or self.instance not in lenders
+            or (is_starting and self._knows_too_few_nodes())
+        ):
             return None
-        if known.quota is None:
+        if configured.quota is None:
             return Granted()
         # A node that has just started lends only a part, as a substitute does: others that have
         # just started may take themselves for the first lender, too.
-        is_first = lenders[0] == self.instance and not starting
-        return self.ledger.take(self.now(), organisation, known.quota, is_first_lender=is_first)
+        is_first = lenders[0] == self.instance and not is_starting
+        return self.ledger.take(
+            self.now(), organisation, configured.quota, is_first_lender=is_first
+        )
 
     def _is_first_lender(self, organisation: str) -> bool:
         return self.ring.lenders(organisation)[:1] == [self.instance]
@@ -225,7 +234,7 @@
             and now - self._members_changed_at < STABLE_VIEW_SECONDS
         )
 
-    def _knows_too_few(self) -> bool:
+    def _knows_too_few_nodes(self) -> bool:
         """Return whether this node knows so few others that many like it might lend at once.
 
         Failure: all nodes restart at the same time, and each believes for a moment that it is
--- a/dunlinsaddle/calls/accepted_connection.py
+++ b/dunlinsaddle/calls/accepted_connection.py
@@ -43,7 +43,7 @@
     connections: 'set[AcceptedConnection]'
     closing: bool
 
-    def note_idle(self) -> None:
+    def notify_idle_waiters(self) -> None:
         """Wake the tasks that wait until no request is in progress."""
 
 
@@ -111,7 +111,7 @@
         if self.timer is not None:
             self.timer.cancel()
         self._cancel_requests()
-        self.listener.note_idle()
+        self.listener.notify_idle_waiters()
 
     def data_received(self, data: bytes) -> None:
         """Buffer and process input; pause reading when too much of it is unread."""
@@ -124,7 +124,7 @@
 
     def eof_received(self) -> bool:
         """Close the connection."""
-        # A half-close cannot be told from a caller that has disconnected, which is by far the
+        # A half-close cannot be distinguished from a disconnect of the caller, which is by far the
         # more frequent case. Both are treated as a disconnect, so that no work is done for a
         # caller that has gone: the call is cancelled down the chain.
         return False
@@ -136,7 +136,7 @@
     def resume_writing(self) -> None:
         """Send the next response and process the input that waited for it."""
         self.is_write_paused = False
-        self.listener.note_idle()
+        self.listener.notify_idle_waiters()
         if not self.transport.is_closing():
             self._flush()
             self._process_input()
@@ -305,7 +305,7 @@
             return
         limits = self.listener.limits
         self._set_timer(limits.header_timeout if self._has_pending_input() else limits.idle_timeout)
-        self.listener.note_idle()
+        self.listener.notify_idle_waiters()
 
     def _refuse(self, failure: Failure) -> None:
         """Answer a request that cannot be processed, after the responses before it, and close."""
--- a/dunlinsaddle/calls/call_state.py
+++ b/dunlinsaddle/calls/call_state.py
@@ -57,7 +57,7 @@
 
 
 def build_call_frame(
-    call: PendingCall, now: float, tokens: int, target_status: RelayedTargetState | None = None
+    call: PendingCall, now: float, tokens: int, target_state: RelayedTargetState | None = None
 ) -> Call:
     """Return the frame that forwards a call to another node with ``tokens`` retry tokens."""
     ctx = call.ctx
@@ -79,11 +79,11 @@
         idempotent=ctx.idempotent,
         idempotency_key=ctx.key,
         fingerprint=ctx.fingerprint,
-        deaths=ctx.deaths,
+        crash_count=ctx.crash_count,
         useful_seconds=min(max(ctx.useful_until - now, 0.0), MAX_TIMEOUT_SECONDS),
         resent=ctx.is_resend,
         organisation=ctx.organisation,
-        target_state=target_status,
+        target_state=target_state,
     )
 
 
@@ -101,7 +101,7 @@
         idempotent=frame.idempotent,
         key=frame.idempotency_key,
         fingerprint=frame.fingerprint,
-        deaths=frame.deaths,
+        crash_count=frame.crash_count,
         useful_until=now + frame.useful_seconds,
         is_resend=frame.resent,
         organisation=frame.organisation,
--- a/dunlinsaddle/calls/client.py
+++ b/dunlinsaddle/calls/client.py
@@ -26,7 +26,7 @@
 
 
 class _PendingRequest(NamedTuple):
-    """One request with the terms on which it is sent."""
+    """One request with its address, deadline and resend options."""
 
     address: Address
     req: HttpRequest
@@ -136,7 +136,7 @@
         try:
             result = await future
         except asyncio.CancelledError:
-            # Closing the connection tells the server that nobody waits for the response.
+            # Closing the connection lets the server detect that nobody waits for the response.
             conn.transport.abort()
             raise
         finally:
@@ -174,7 +174,7 @@
         sent_at: float,
     ) -> None:
         # If later requests were answered and this one was not, either it is slow or its
-        # connection is lost, which cannot be told apart here. Sending it again on a new
+        # connection is lost; the two cases cannot be distinguished here. Sending it again on a new
         # connection while still waiting on the old one yields a response in both cases.
         assert pending.allow_resend is not None
         conn.timer = conn.loop.call_at(pending.deadline, self._expire, pool, conn)
--- a/dunlinsaddle/calls/crash_notifier.py
+++ b/dunlinsaddle/calls/crash_notifier.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Iterable
 
 from dunlinsaddle.calls.link import PeerLinks
-from dunlinsaddle.calls.messages import TargetDeaths
+from dunlinsaddle.calls.messages import TargetCrashes
 from dunlinsaddle.loops import LoopBound
 from dunlinsaddle.membership.view import Member
 from dunlinsaddle.policy.quarantine import Quarantine
@@ -31,19 +31,19 @@
         self.logger = logger
         self._tasks: set[asyncio.Task[bool]] = set()
 
-    def broadcast(self, fingerprint: int, deaths: int) -> None:
+    def broadcast(self, fingerprint: int, crash_count: int) -> None:
         """Report a request and its number of crashes to the nodes that it could reach next."""
-        extra = {'fingerprint': f'{fingerprint:016x}', 'deaths': deaths}
+        extra = {'fingerprint': f'{fingerprint:016x}', 'deaths': crash_count}
         self.logger.warning('target died while it ran a request', extra=extra)
         for member in self.recipients():
-            report = self.links.notify(member.peers, TargetDeaths(fingerprint, deaths))
+            report = self.links.notify(member.peers, TargetCrashes(fingerprint, crash_count))
             task = self.loop.create_task(report)
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
 
-    def receive(self, frame: TargetDeaths) -> None:
+    def receive(self, frame: TargetCrashes) -> None:
         """Record a report of another node."""
-        self.quarantine.merge_deaths(self.now(), frame.fingerprint, frame.deaths)
+        self.quarantine.merge_crash_count(self.now(), frame.fingerprint, frame.crash_count)
 
     def close(self) -> None:
         """Cancel the reports that are still being sent."""
--- a/dunlinsaddle/calls/decisions.py
+++ b/dunlinsaddle/calls/decisions.py
@@ -63,10 +63,10 @@
         self._written: Counter[Event] = Counter()
         self._omitted: Counter[Event] = Counter()
 
-    def log_routed(self, work: PendingCall, version: int) -> None:
+    def log_routed(self, call: PendingCall, version: int) -> None:
         """Log the route, deadline and priority of a request, and the configuration version."""
         if self._try_acquire(Event.ROUTED):
-            ctx = work.ctx
+            ctx = call.ctx
             self._write(
                 Event.ROUTED,
                 ctx,
@@ -160,14 +160,14 @@
                 seconds_left=_rounded(ctx.deadline - self.now()),
             )
 
-    def log_completed(self, work: PendingCall, reply: Reply, seconds: float, version: int) -> None:
+    def log_completed(self, call: PendingCall, reply: Reply, seconds: float, version: int) -> None:
         """Log the answer that the caller gets, with all attempts that led to it."""
         failed = reply.outcome is not Outcome.DONE or reply.status >= MIN_SERVER_ERROR_STATUS
         event = Event.FAILED if failed else Event.ANSWERED
         if self._try_acquire(event):
             self._write(
                 event,
-                work.ctx,
+                call.ctx,
                 status=reply.status,
                 kind=reply.kind,
                 cause=reply.cause,
@@ -175,8 +175,8 @@
                 seconds=_rounded(seconds),
                 retry_after=_rounded(reply.retry_after),
                 version=version,
-                inner=bool(work.ctx.hop),
-                attempts=[attempt._asdict() for attempt in work.attempts or ()],
+                inner=bool(call.ctx.hop),
+                attempts=[attempt._asdict() for attempt in call.attempts or ()],
             )
 
     def log_cancelled(self, ctx: CallContext, seconds: float) -> None:
--- a/dunlinsaddle/calls/dispatch.py
+++ b/dunlinsaddle/calls/dispatch.py
@@ -14,7 +14,7 @@
 from dunlinsaddle.loops import LoopBound
 from dunlinsaddle.membership.view import Member, MemberView
 from dunlinsaddle.policy.context import CallContext
-from dunlinsaddle.policy.quarantine import DEATHS_TO_QUARANTINE, Quarantine
+from dunlinsaddle.policy.quarantine import CRASHES_TO_QUARANTINE, Quarantine
 from dunlinsaddle.policy.retry import LOST_ANSWER_KINDS, REFUSED_BY_NODE, RetryAllowance, may_resend
 from dunlinsaddle.policy.route import Candidate, Router
 from dunlinsaddle.stats import Stats
@@ -108,10 +108,10 @@
         self.resend_policy: ResendPolicy = AllowanceResendPolicy()
         self.decisions: DecisionLog | None = None
         self._candidate_sets: dict[str, _CandidateSet] = {}
-        #: What targets reported of themselves, by instance. It is sent back with each call: a node
-        #: that has restarted beside a running target has lost the report, and would handle it as
-        #: a target that has reported nothing.
-        self._target_statuses: dict[str, RelayedTargetState] = {}
+        #: State that targets advertised, by instance. It is sent back with each call: a node that
+        #: has restarted beside a running target has lost this state, and would handle the target
+        #: as one that has advertised nothing.
+        self._target_states: dict[str, RelayedTargetState] = {}
 
     async def dispatch(self, call: PendingCall, parent_rule: str = '') -> Reply:
         """Send a call to one target after another until a reply is final.
@@ -132,8 +132,8 @@
 
     def refuse_failing_rule(self, call: PendingCall) -> Reply:
         """Refuse a request whose rule mostly fails, with a Retry-After."""
-        useful_for = call.ctx.useful_until - self.now()
-        reply = self._refuse_early(call, self.executor.levels.refuse(useful_for))
+        useful_seconds = call.ctx.useful_until - self.now()
+        reply = self._refuse_early(call, self.executor.levels.refuse(useful_seconds))
         reply.cause = RULE_FAILING_CAUSE
         return reply
 
@@ -158,7 +158,7 @@
             if last_reply is not None and not self.resend_policy.spend(call, last_reply):
                 break
             if last_reply is not None:
-                self._note_resend(call, last_reply, len(tried_instances))
+                self._record_resend(call, last_reply, len(tried_instances))
                 call = self.resend_policy.prepare_resend(call, last_reply)
             tried_instances.add(member.instance)
             last_reply = await self._send_to(call, member)
@@ -171,8 +171,8 @@
             if not self._may_resend(call, last_reply):
                 break
         if last_reply.kind and target_reply is not None:
-            # A response of a target, even an error, tells the caller more than the reason why
-            # no other target answered.
+            # A response of a target, even an error, is more useful to the caller than the reason
+            # why no other target answered.
             last_reply = target_reply
         last_reply.unspent_retry_tokens = call.allowance.tokens
         return _correct_outcome(last_reply) if may_have_run else last_reply
@@ -187,7 +187,7 @@
             service, {m.instance for m in self.view.serving_members(service)} - delivered_to
         )
 
-    def _note_resend(self, call: PendingCall, last_reply: Reply, attempts: int) -> None:
+    def _record_resend(self, call: PendingCall, last_reply: Reply, attempts: int) -> None:
         self.stats.retries += 1
         if self.decisions is not None:
             self.decisions.log_resent(call.ctx, last_reply, attempts)
@@ -199,15 +199,15 @@
         answer that it did not run.
         """
         reply = await router.handle(call)
-        self._learn_level(self.now(), call, reply)
+        self._record_level(self.now(), call, reply)
         self._record_crashes(call, reply)
         return reply
 
     def _check_downstream_levels(self, ctx: CallContext) -> Failure | None:
         now = self.now()
         levels, level = self.executor.levels, ctx.priority.level
-        useful_for = ctx.useful_until - now
-        failure = levels.check(now, ctx.service, ctx.rule, level, ctx.hop, useful_for)
+        useful_seconds = ctx.useful_until - now
+        failure = levels.check(now, ctx.service, ctx.rule, level, ctx.hop, useful_seconds)
         if failure is not None and self.executor.is_observe_only(ctx.service):
             self.stats.observed_refusals[failure.kind.value] += 1
             return None
@@ -233,12 +233,12 @@
         started_at = loop.time()
         self.router.record_sent(member.instance)
         try:
-            exchange = await self._forward(call, member, tokens)
+            result = await self._forward(call, member, tokens)
         except asyncio.CancelledError:
             self.router.record_answer(self.now(), member.instance, None)
             self._record_duration(call.ctx, member, started_at, is_success=False)
             raise
-        reply = self._process_exchange(call, member, tokens, exchange)
+        reply = self._process_result(call, member, tokens, result)
         elapsed = self._record_duration(call.ctx, member, started_at, is_success=_is_success(reply))
         if call.attempts is not None:
             call.attempts.append(Attempt(member.instance, reply.kind, reply.status, elapsed))
@@ -253,17 +253,17 @@
         )
         return round(now - started_at, 4)
 
-    def _process_exchange(
-        self, call: PendingCall, member: Member, tokens: int, exchange: Reply | NotSent | Lost
+    def _process_result(
+        self, call: PendingCall, member: Member, tokens: int, result: Reply | NotSent | Lost
     ) -> Reply:
         """Update the routing state with the result of an attempt, and convert it to a reply."""
         now = self.now()
-        match exchange:
+        match result:
             case Reply():
-                self._update_router(now, member, exchange)
-                self._learn_level(now, call, exchange)
-                call.allowance.reclaim(tokens, exchange.unspent_retry_tokens)
-                return exchange
+                self._update_router(now, member, result)
+                self._record_level(now, call, result)
+                call.allowance.reclaim(tokens, result.unspent_retry_tokens)
+                return result
             case NotSent(detail):
                 self.router.record_failure(now, member.instance)
                 call.allowance.reclaim(tokens, tokens)
@@ -279,14 +279,14 @@
             return await self.executor.execute(call._replace(allowance=RetryAllowance(tokens)))
         loop = self.loop
         now = loop.time()
-        frame = build_call_frame(call, now, tokens, self._target_statuses.get(member.instance))
-        exchange = await self.links.call(member.peers, frame)
+        frame = build_call_frame(call, now, tokens, self._target_states.get(member.instance))
+        result = await self.links.call(member.peers, frame)
         if call.wait_time is not None:
             call.wait_time.seconds += loop.time() - now
-        return exchange
+        return result
 
     def _update_router(self, now: float, member: Member, reply: Reply) -> None:
-        self._store_target_status(now, member, reply)
+        self._store_target_state(now, member, reply)
         if reply.kind in LOST_RESPONSE_KINDS:
             self.router.record_failure(now, member.instance)
             return
@@ -299,17 +299,17 @@
         if reply.kind in (ErrorKind.DRAINING.value, ErrorKind.NO_TARGET.value):
             self.router.avoid_leaving(now, member.instance)
 
-    def _store_target_status(self, now: float, member: Member, reply: Reply) -> None:
-        status = reply.target_state
-        if status is not None:
-            self._target_statuses[member.instance] = status
-            self.router.record_rate(now, member.instance, status.rate, status.rate_use)
+    def _store_target_state(self, now: float, member: Member, reply: Reply) -> None:
+        state = reply.target_state
+        if state is not None:
+            self._target_states[member.instance] = state
+            self.router.record_rate(now, member.instance, state.rate, state.rate_use)
         elif not reply.kind:
-            # The target has answered without a report of itself: the previous one has expired.
-            self._target_statuses.pop(member.instance, None)
+            # The target answered without advertised state: the previous state has expired.
+            self._target_states.pop(member.instance, None)
             self.router.record_rate(now, member.instance, None)
 
-    def _learn_level(self, now: float, call: PendingCall, reply: Reply) -> None:
+    def _record_level(self, now: float, call: PendingCall, reply: Reply) -> None:
         if reply.load is not None and self._is_service_level(call.ctx.service, reply):
             self.executor.levels.record_response(
                 now, call.ctx.service, call.ctx.rule, reply.load.reported_level
@@ -327,18 +327,20 @@
             return True
         if reply.load is not None and reply.load.limited_by != service:
             return True
-        statuses = self._target_statuses
+        states = self._target_states
         return all(
-            _has_rate_limit(statuses.get(m.instance)) for m in self.view.serving_members(service)
+            _has_rate_limit(states.get(m.instance)) for m in self.view.serving_members(service)
         )
 
     def _record_crashes(self, call: PendingCall, reply: Reply) -> PendingCall:
-        """Record the target crashes reported by a reply, and return the call with their number."""
-        if not reply.deaths:
+        """Record the crashes that a reply reports, and return the call with their number."""
+        if not reply.crash_count:
             return call
         now = self.now()
-        deaths = self.quarantine.merge_deaths(now, call.ctx.fingerprint, reply.deaths)
-        return call._replace(ctx=call.ctx._replace(deaths=deaths))
+        crash_count = self.quarantine.merge_crash_count(
+            now, call.ctx.fingerprint, reply.crash_count
+        )
+        return call._replace(ctx=call.ctx._replace(crash_count=crash_count))
 
     def _no_target_reply(self, ctx: CallContext) -> Reply:
         now = self.now()
@@ -347,7 +349,7 @@
         return refusal(Failure(ErrorKind.NO_TARGET, detail, NO_TARGET_RETRY_AFTER_SECONDS))
 
     def _may_resend(self, call: PendingCall, reply: Reply) -> bool:
-        if call.ctx.deaths >= DEATHS_TO_QUARANTINE:
+        if call.ctx.crash_count >= CRASHES_TO_QUARANTINE:
             return False
         if call.ctx.deadline - self.now() < MIN_RESEND_SECONDS:
             return False
@@ -358,8 +360,8 @@
     return not reply.kind and reply.status < MIN_SERVER_ERROR_STATUS
 
 
-def _has_rate_limit(status: RelayedTargetState | None) -> bool:
-    return status is not None and status.rate is not None
+def _has_rate_limit(state: RelayedTargetState | None) -> bool:
+    return state is not None and state.rate is not None
 
 
 def _correct_outcome(reply: Reply) -> Reply:
--- a/dunlinsaddle/calls/execute.py
+++ b/dunlinsaddle/calls/execute.py
@@ -35,12 +35,12 @@
 from dunlinsaddle.stats import Hop, Stats
 
 #: Slightly longer than the interval, so that the update is due when the timer fires.
-TICK_SECONDS = UPDATE_INTERVAL_SECONDS + 0.0001
+TICK_INTERVAL_SECONDS = UPDATE_INTERVAL_SECONDS + 0.0001
 
 
-#: Called with a request id, the time at which that request was sent, and what the target reported
-#: of itself in its response.
-OnTargetStatus = Callable[[str, float, AdvertisedState], None]
+#: Called with a request id, the time at which that request was sent, and the state that the target
+#: advertised in its response.
+OnAdvertisedState = Callable[[str, float, AdvertisedState], None]
 
 
 class Executor(LoopBound):
@@ -55,7 +55,7 @@
         stats: Stats,
         quarantine: Quarantine,
         is_observe_only: Callable[[str], bool] = lambda service: False,
-        on_target_crash: Callable[[int, int], None] = lambda fingerprint, deaths: None,
+        on_target_crash: Callable[[int, int], None] = lambda fingerprint, crash_count: None,
         levels: ChainLevels | None = None,
         dialect: TargetDialect | None = None,
     ) -> None:
@@ -70,9 +70,9 @@
         self.on_target_crash = on_target_crash
         self.levels = levels or ChainLevels()
         self.decisions: DecisionLog | None = None
-        self.on_target_status: OnTargetStatus = lambda request_id, sent_at, status: None
-        #: Returns the target's report of itself that is sent to other nodes with each reply.
-        self.target_status: Callable[[], RelayedTargetState | None] = lambda: None
+        self.on_advertised_state: OnAdvertisedState = lambda request_id, sent_at, state: None
+        #: Returns the target's advertised state, which is sent to other nodes with each reply.
+        self.get_relayed_state: Callable[[], RelayedTargetState | None] = lambda: None
         self._waiters = Waiters(admission, self._release)
         self._ticket_count = 0
         self._unadmitted_ids: set[int] = set()
@@ -91,7 +91,7 @@
             return self._refuse(failure, call)
         ctx = call.ctx
         now = self.now()
-        self.quarantine.merge_deaths(now, ctx.fingerprint, ctx.deaths)
+        self.quarantine.merge_crash_count(now, ctx.fingerprint, ctx.crash_count)
         match self.quarantine.check(now, ctx.fingerprint):
             case Quarantined(failure) if self.is_observe_only(ctx.service):
                 self.stats.observed_refusals[failure.kind.value] += 1
@@ -142,7 +142,7 @@
         now = loop.time()
         if not self._is_tick_scheduled:
             self._is_tick_scheduled = True
-            loop.call_later(TICK_SECONDS, self._tick)
+            loop.call_later(TICK_INTERVAL_SECONDS, self._tick)
         level = ctx.priority.level
         return Ticket(
             self._ticket_count,
@@ -156,7 +156,7 @@
         )
 
     def _tick(self) -> None:
-        """Update admission between calls: a call that finds the update due has to wait for it.
+        """Update admission between calls, so that a call seldom has to wait for a due update.
 
         Without calls no tick is scheduled, so that an idle node is not woken up.
         """
@@ -165,7 +165,7 @@
         self._is_tick_scheduled = self._ticket_count != self._ticket_count_at_tick
         self._ticket_count_at_tick = self._ticket_count
         if self._is_tick_scheduled:
-            loop.call_later(TICK_SECONDS, self._tick)
+            loop.call_later(TICK_INTERVAL_SECONDS, self._tick)
 
     async def _admit(self, ticket: Ticket, ctx: CallContext) -> Failure | None:
         loop = self.loop
@@ -189,7 +189,7 @@
         try:
             refused = await future
         except asyncio.CancelledError:
-            self._abandon(ticket, future)
+            self._cancel_waiting(ticket, future)
             raise
         finally:
             self._waiters.remove(ticket)
@@ -213,8 +213,8 @@
                 self.stats.observed_refusals[failure.kind.value] += 1
         self._unadmitted_ids.add(ticket.call_id)
 
-    def _abandon(self, ticket: Ticket, future: AdmissionFuture) -> None:
-        """Remove a cancelled call, whether it still waits or has just been released."""
+    def _cancel_waiting(self, ticket: Ticket, future: AdmissionFuture) -> None:
+        """Remove a cancelled call, whether it still waits or has just been admitted."""
         if future.done() and not future.cancelled() and future.result() is None:
             now = self.now()
             self._finish(ticket, Sample(ticket.rule, 0.0, completed=False), now)
@@ -237,7 +237,7 @@
         try:
             reply = await self._call_target(call, running)
             completed = reply.kind == ''
-            if completed and call.ctx.deaths:
+            if completed and call.ctx.crash_count:
                 self.quarantine.record_completion(loop.time(), call.ctx.fingerprint)
         except asyncio.CancelledError:
             self.stats.wasted += 1
@@ -250,7 +250,7 @@
             )
         reply.unspent_retry_tokens = call.allowance.tokens
         reply.load = self._chain_load(call.ctx)._replace(cost=self._compute_cost(running))
-        reply.target_state = self.target_status()
+        reply.target_state = self.get_relayed_state()
         return reply
 
     def _compute_cost(self, running: RunningCall) -> float:
@@ -284,23 +284,23 @@
         budget = call.ctx.deadline - running.started_at
         headers = self.dialect.request_headers(call, running, budget)
         req = HttpRequest(call.method, call.path, headers, call.body, '')
-        may_repeat = partial(self._may_repeat, call) if call.ctx.idempotent else None
+        allow_resend = partial(self._try_spend_resend, call) if call.ctx.idempotent else None
         loop = self.loop
         sent_at = loop.time()
-        exchange = await self.client.send(
+        result = await self.client.send(
             address,
             req,
             budget,
-            allow_resend=may_repeat,
+            allow_resend=allow_resend,
             matches_request=partial(self.dialect.matches_request, call),
         )
         elapsed = loop.time() - sent_at
         self.stats.record_latency(Hop.TARGET, elapsed)
         if call.wait_time is not None:
             call.wait_time.seconds += elapsed
-        match exchange:
+        match result:
             case Answered(response):
-                self._report_target_status(call, sent_at, response)
+                self._report_advertised_state(call, sent_at, response)
                 reply = self.dialect.read_reply(response)
                 if not reply.kind:
                     reply.retry_after = downstream_retry_after(reply, running)
@@ -314,16 +314,16 @@
                 reply = refusal(Failure(kind, detail))
                 if kind is ErrorKind.TARGET_LOST and not await self._is_target_alive():
                     now = self.now()
-                    reply.deaths = self.quarantine.record_death(now, call.ctx.fingerprint)
-                    self.on_target_crash(call.ctx.fingerprint, reply.deaths)
+                    reply.crash_count = self.quarantine.record_crash(now, call.ctx.fingerprint)
+                    self.on_target_crash(call.ctx.fingerprint, reply.crash_count)
                 return reply
 
-    def _report_target_status(
+    def _report_advertised_state(
         self, call: PendingCall, sent_at: float, response: HttpResponse
     ) -> None:
-        status = self.dialect.read_advertised_state(response)
-        if status is not None:
-            self.on_target_status(call.ctx.request_id, sent_at, status)
+        state = self.dialect.read_advertised_state(response)
+        if state is not None:
+            self.on_advertised_state(call.ctx.request_id, sent_at, state)
 
     async def _is_target_alive(self) -> bool:
         """Return whether the target accepts connections: a dead one refuses them at once."""
@@ -335,8 +335,8 @@
             self.target.record_connection_refused()
         return is_alive
 
-    def _may_repeat(self, call: PendingCall) -> bool:
-        # A draining target is sent no call, not even one that it was sent before.
+    def _try_spend_resend(self, call: PendingCall) -> bool:
+        # No call is sent to a draining target, not even one that was sent to it before.
         return not self.target.draining and call.allowance.spend()
 
     def _finish(self, ticket: Ticket, sample: Sample, now: float) -> None:
@@ -348,11 +348,11 @@
         self._release(now)
 
     def _release(self, now: float) -> None:
-        released = self.admission.dequeue(now)
-        for started in released.started:
+        dequeued = self.admission.dequeue(now)
+        for started in dequeued.started:
             self._end_wait(started, None)
         failure = Failure(ErrorKind.TOO_LATE_TO_START, retry_after=RETRY_AFTER_SECONDS)
-        for dropped in released.expired:
+        for dropped in dequeued.expired:
             self._end_wait(dropped, failure)
         self._waiters.schedule_release(now)
 
@@ -362,6 +362,6 @@
         if self.decisions is not None:
             self.decisions.log_refused(call.ctx, failure, load)
         reply = refusal(failure, load=load)
-        reply.target_state = self.target_status()
+        reply.target_state = self.get_relayed_state()
         reply.unspent_retry_tokens = call.allowance.tokens
         return reply
--- a/dunlinsaddle/calls/handlers.py
+++ b/dunlinsaddle/calls/handlers.py
@@ -67,7 +67,7 @@
 
 
 def parse_timeout(text: str, default: float) -> float:
-    """Parse a Request-Timeout header: seconds, at most ``default``, or that if invalid."""
+    """Parse a Request-Timeout header in seconds; ``default`` is its maximum, used if invalid."""
     try:
         seconds = float(text)
     except ValueError:
@@ -103,10 +103,10 @@
         loop = asyncio.get_running_loop()
         started_at = loop.time()
         call = self._build_call(req, record, rule, path['rest'])
-        request_name = req.header(b'idempotency-key') or req.header(b'request-id')
-        failure = self._check_resend_rate(call, record, request_name)
+        request_key = req.header(b'idempotency-key') or req.header(b'request-id')
+        failure = self._check_resend_rate(call, record, request_key)
         reply = refusal(failure) if failure else await self.dispatcher.dispatch(call)
-        self._record_result(call, reply, request_name)
+        self._record_result(call, reply, request_key)
         label = CallLabel(record.service, rule.rank.name.lower(), reply.outcome.value, reply.kind)
         self.stats.record_call(label)
         if reply.outcome is Outcome.UNKNOWN:
@@ -125,10 +125,10 @@
         )
 
     def _check_resend_rate(
-        self, call: PendingCall, record: ServiceRecord, request_name: str
+        self, call: PendingCall, record: ServiceRecord, request_key: str
     ) -> Failure | None:
         ctx = call.ctx
-        if not request_name:
+        if not request_key:
             # Two equal requests without a key or a request id may come from different users.
             return None
         if ctx.key and not ctx.idempotent:
@@ -138,7 +138,7 @@
         failure = self.resend_guard.check(
             asyncio.get_running_loop().time(),
             ctx.caller,
-            request_name,
+            request_key,
             rank=ctx.priority.rank,
             ratio=record.resend_ratio,
         )
@@ -150,16 +150,16 @@
         self.stats.shed[failure.kind.value] += 1
         return failure
 
-    def _record_result(self, call: PendingCall, reply: Reply, request_name: str) -> None:
+    def _record_result(self, call: PendingCall, reply: Reply, request_key: str) -> None:
         ctx = call.ctx
-        if not request_name:
+        if not request_key:
             return
         if reply.retry_after <= 0:
             if not reply.kind:
-                self.resend_guard.record_answer(ctx.caller, request_name)
+                self.resend_guard.record_answer(ctx.caller, request_key)
         else:
             now = asyncio.get_running_loop().time()
-            self.resend_guard.record_refusal(now, ctx.caller, request_name, reply.retry_after)
+            self.resend_guard.record_refusal(now, ctx.caller, request_key, reply.retry_after)
 
     def _build_call(
         self, req: HttpRequest, record: ServiceRecord, rule: RequestRule, rest: str
--- a/dunlinsaddle/calls/handover.py
+++ b/dunlinsaddle/calls/handover.py
@@ -34,52 +34,55 @@
     not_taken: int
 
 
-def has_owner_ended(keeper: RangeManager, view: MemberView, service: str, owner: Owner) -> bool:
+def has_owner_ended(
+    range_manager: RangeManager, view: MemberView, service: str, owner: Owner
+) -> bool:
     """Return whether the owner's process is considered ended.
 
-    That suffices to ask other nodes about its keys, but never to run them.
+    This is reason enough to ask other nodes about its keys, but never to run them.
     """
-    if owner == keeper.me:
+    if owner == range_manager.me:
         return False
-    range_map, member = keeper.range_map_of(service), view.find(owner.instance)
+    range_map, member = range_manager.range_map_of(service), view.find(owner.instance)
     superseded = range_map is not None and range_map.is_superseded(owner)
     return (
         superseded
-        or owner.instance == keeper.me.instance
+        or owner.instance == range_manager.me.instance
         or (member is not None and member.is_gone)
     )
 
 
 def find_next_owner(
-    keeper: RangeManager,
+    range_manager: RangeManager,
     view: MemberView,
     service: str,
     key: TimestampedKey,
     *,
     leaving: bool = False,
 ) -> Owner | None:
-    """Return the next owner of a key that has not ended: it received the key when its owner left.
+    """Return the first later owner of a key's range whose process has not ended, if any.
 
-    With ``leaving`` set, this node is leaving and skips itself.
+    It received the key when the owner of the key left. With ``leaving`` set, this node is leaving
+    and skips itself.
     """
-    for interval in keeper.later_intervals(service, key):
+    for interval in range_manager.later_intervals(service, key):
         owner = interval.owner
-        if leaving and owner == keeper.me:
+        if leaving and owner == range_manager.me:
             continue
-        if not has_owner_ended(keeper, view, service, owner):
+        if not has_owner_ended(range_manager, view, service, owner):
             return owner
     return None
 
 
 async def hand_over_keys(
-    tables: Tables, keeper: RangeManager, view: MemberView, links: PeerLinks
+    tables: Tables, range_manager: RangeManager, view: MemberView, links: PeerLinks
 ) -> HandoverResult:
     """Send all tables to the next owners in batches, after this node has stopped accepting keys."""
     keys_by_owner: dict[tuple[str, str], list[KeyRecord[Reply]]] = {}
     not_taken = 0
     for service, table in tables.items():
         for entry in table.export_records():
-            next_owner = _find_next_owner_of(keeper, view, service, entry.key)
+            next_owner = _find_next_owner_of(range_manager, view, service, entry.key)
             if next_owner is None:
                 not_taken += 1
             else:
@@ -111,11 +114,11 @@
 
 
 def _find_next_owner_of(
-    keeper: RangeManager, view: MemberView, service: str, text: str
+    range_manager: RangeManager, view: MemberView, service: str, text: str
 ) -> Owner | None:
     match parse_key(text):
         case Ok(TimestampedKey() as key):
-            return find_next_owner(keeper, view, service, key, leaving=True)
+            return find_next_owner(range_manager, view, service, key, leaving=True)
     return None
 
 
--- a/dunlinsaddle/calls/http.py
+++ b/dunlinsaddle/calls/http.py
@@ -52,10 +52,10 @@
 
 
 def forwarded_headers(headers: Headers) -> Headers:
-    """Return the headers to forward: neither hop-by-hop headers nor those with our own prefix.
+    """Return the headers without hop-by-hop headers and those with the reserved prefix.
 
-    A caller that sets our headers itself could raise its own priority or retry allowance, so
-    they are dropped at the listener that receives them.
+    A caller that sets reserved headers could raise its own priority or retry allowance, so they
+    are dropped at the listener that receives them.
     """
     dropped = HOP_BY_HOP
     for name, value in headers:
--- a/dunlinsaddle/calls/http_codec.py
+++ b/dunlinsaddle/calls/http_codec.py
@@ -1,8 +1,8 @@
 """HTTP/1.1 codec: parses byte streams into whole messages and serializes messages to bytes.
 
-No other module uses the parser. A call passes four HTTP endpoints on its way through two nodes.
-Over loopback, caller and target included, it took 1,434 us of CPU time with ``h11`` and 456 us
-with ``httptools``; a busy fleet could not afford the former.
+No other module uses the parser. A call that passes through two nodes is parsed and serialized at
+four HTTP endpoints. Over loopback, caller and target included, it took 1,434 us of CPU time with
+``h11`` and 456 us with ``httptools``, so ``h11`` would be too slow for a busy fleet.
 """
 
 from typing import NamedTuple
@@ -17,7 +17,7 @@
 
 
 class MalformedMessage(Exception):
-    """The bytes are not HTTP/1.1, or use a feature that is not supported here."""
+    """The bytes are not HTTP/1.1, or use an unsupported feature."""
 
 
 class HeadTooLarge(MalformedMessage):
@@ -100,7 +100,7 @@
 
 
 class RequestReader(_MessageReader):
-    """Parses requests; one piece of data may hold several."""
+    """Parses requests; one call of ``feed`` may complete several."""
 
     def __init__(self, max_header_bytes: int, max_body_bytes: int) -> None:
         super().__init__(max_header_bytes, max_body_bytes)
--- a/dunlinsaddle/calls/idempotency.py
+++ b/dunlinsaddle/calls/idempotency.py
@@ -62,7 +62,7 @@
 
     def __init__(
         self,
-        keeper: RangeManager,
+        range_manager: RangeManager,
         view: MemberView,
         router: Router,
         links: PeerLinks,
@@ -71,20 +71,26 @@
         rng: Random,
         key_window: Callable[[str], float],
     ) -> None:
-        self.keeper = keeper
+        self.range_manager = range_manager
         self.view = view
         self.router = router
         self.rng = rng
         self.member_calls = MemberCaller(router, links)
         self.owned_keys = OwnedKeys(
-            keeper.me, keeper.clock, view, self.member_calls, executor, stats, key_window
+            range_manager.me,
+            range_manager.clock,
+            view,
+            self.member_calls,
+            executor,
+            stats,
+            key_window,
         )
         self._refresh_tasks: set[asyncio.Task[bool]] = set()
 
     @property
     def me(self) -> Owner:
         """The owner identity of this process: its instance and the epoch of its present run."""
-        return self.keeper.me
+        return self.range_manager.me
 
     async def handle(self, call: PendingCall) -> Reply:
         """Handle a call that entered the system here, from a caller or from the local target."""
@@ -107,13 +113,13 @@
 
     async def generate_key(self, service: str) -> TimestampedKey:
         """Create a key for a caller that is owned by a node which can be reached."""
-        if self.keeper.range_map_of(service) is None:
-            await self.keeper.refresh(service)
+        if self.range_manager.range_map_of(service) is None:
+            await self.range_manager.refresh(service)
         return self._generate_key(service, set())
 
     def status(self, service: str) -> dict[str, Any]:
         """Return the state of the keys at this node for operators; times in seconds."""
-        owned_ranges = self.keeper.owned_ranges(service)
+        owned_ranges = self.range_manager.owned_ranges(service)
         age = owned_ranges.platform_age
         return {
             'ranges': owned_ranges.ranges,
@@ -134,8 +140,8 @@
     async def _handle_without_key(self, call: PendingCall) -> Reply:
         """Generate a key of a serving node, and another one while its owner is unreachable."""
         service = call.ctx.service
-        if self.keeper.range_map_of(service) is None:
-            await self.keeper.refresh(service)
+        if self.range_manager.range_map_of(service) is None:
+            await self.range_manager.refresh(service)
         tried_instances: set[str] = set()
         while True:
             key = self._generate_key(service, tried_instances)
@@ -144,14 +150,14 @@
             reply = await self._route(call_with_key, key, KeyRoute(is_generated_here=True))
             if reply.kind != ErrorKind.OWNER_UNAVAILABLE.value:
                 return reply
-            interval = self.keeper.find(service, key)
+            interval = self.range_manager.find(service, key)
             if interval is None or not call.allowance.spend():
                 return reply
             tried_instances.add(interval.owner.instance)
 
     def _generate_key(self, service: str, tried_instances: set[str]) -> TimestampedKey:
-        now = self.keeper.clock()
-        range_map = self.keeper.range_map_of(service) or RangeMap()
+        now = self.range_manager.clock()
+        range_map = self.range_manager.range_map_of(service) or RangeMap()
         ranges: dict[str, list[int]] = {}
         for number in range(RANGE_COUNT):
             interval = range_map.find(number, now)
@@ -175,7 +181,7 @@
 
     async def _route_opaque_key(self, call: PendingCall, key: OpaqueKey, route: KeyRoute) -> Reply:
         claim = await claim_key(
-            self.keeper.store, call.ctx.service, key, self.me, self.keeper.clock
+            self.range_manager.store, call.ctx.service, key, self.me, self.range_manager.clock
         )
         if claim is None:
             return self.owned_keys.refuse(
@@ -189,11 +195,11 @@
         self, call: PendingCall, key: TimestampedKey, route: KeyRoute
     ) -> Reply:
         service = call.ctx.service
-        interval = self.keeper.find(service, key)
+        interval = self.range_manager.find(service, key)
         if not route.is_map_refreshed and self._may_be_outdated(service, interval, route):
-            route = route._replace(is_map_refreshed=await self.keeper.refresh(service))
-            interval = self.keeper.find(service, key)
-        elif self.keeper.is_stale(service):
+            route = route._replace(is_map_refreshed=await self.range_manager.refresh(service))
+            interval = self.range_manager.find(service, key)
+        elif self.range_manager.is_stale(service):
             self._refresh_in_background(service)
         if interval is None:
             return await self._route_unowned_key(call, key, route)
@@ -206,10 +212,10 @@
         if (
             reply.kind not in UNREACHABLE_KINDS
             or route.is_map_refreshed
-            or not await self.keeper.refresh(service)
+            or not await self.range_manager.refresh(service)
         ):
             return reply
-        newer_interval = self.keeper.find(service, key)
+        newer_interval = self.range_manager.find(service, key)
         if newer_interval is None or newer_interval.owner == interval.owner:
             return reply
         return await self._route_timestamped_key(call, key, route._replace(is_map_refreshed=True))
@@ -225,19 +231,19 @@
         return route.nodes_asked > 0 or self._has_ended(service, interval.owner)
 
     def _has_ended(self, service: str, owner: Owner) -> bool:
-        return has_owner_ended(self.keeper, self.view, service, owner)
+        return has_owner_ended(self.range_manager, self.view, service, owner)
 
     def _choose_answering_owner(
         self, service: str, key: TimestampedKey, owner: Owner, route: KeyRoute
     ) -> Owner:
-        """Return who can answer for a key: its owner, or the next owner if it has ended."""
+        """Return the node to ask about a key: its owner, or the next owner if that has ended."""
         if route.is_generated_here or not self._has_ended(service, owner):
             return owner
-        next_owner = find_next_owner(self.keeper, self.view, service, key)
+        next_owner = find_next_owner(self.range_manager, self.view, service, key)
         return owner if next_owner is None or next_owner == self.me else next_owner
 
     async def _run_owned_key(self, call: PendingCall, key: TimestampedKey) -> Reply:
-        if self.keeper.try_accept(call.ctx.service, key):
+        if self.range_manager.try_accept(call.ctx.service, key):
             return await self.owned_keys.run_once(call, key, key.birth)
         # The range is being handed over to another node, and that write is not confirmed yet.
         return self.owned_keys.refuse(ErrorKind.OWNER_UNREACHABLE, 'the key is being handed over')
@@ -245,14 +251,17 @@
     async def _route_unowned_key(
         self, call: PendingCall, key: TimestampedKey, route: KeyRoute
     ) -> Reply:
-        range_map = self.keeper.range_map_of(call.ctx.service)
+        range_map = self.range_manager.range_map_of(call.ctx.service)
         if range_map is not None and range_map.is_pruned(
             range_number(call.ctx.service, key), key.birth
         ):
             return self.owned_keys.refuse(
                 ErrorKind.KEY_EXPIRED, 'the key is older than all remembered keys'
             )
-        if route.is_map_refreshed and key.birth > self.keeper.clock() + self.keeper.horizon:
+        if (
+            route.is_map_refreshed
+            and key.birth > self.range_manager.clock() + self.range_manager.horizon
+        ):
             return self.owned_keys.refuse(
                 ErrorKind.KEY_IN_FUTURE, 'no node owns keys created at that time yet'
             )
@@ -319,6 +328,6 @@
         )
 
     def _refresh_in_background(self, service: str) -> None:
-        task = asyncio.get_running_loop().create_task(self.keeper.refresh(service))
+        task = asyncio.get_running_loop().create_task(self.range_manager.refresh(service))
         self._refresh_tasks.add(task)
         task.add_done_callback(self._refresh_tasks.discard)
--- a/dunlinsaddle/calls/link.py
+++ b/dunlinsaddle/calls/link.py
@@ -31,7 +31,7 @@
     RecordsRequest,
     RecordsResponse,
     Reply,
-    TargetDeaths,
+    TargetCrashes,
     Welcome,
 )
 from dunlinsaddle.errors import ErrorKind
@@ -207,7 +207,7 @@
         """Send keys to a peer; return whether it acknowledged them in ``timeout`` seconds."""
         return isinstance(await self._request(address, push, timeout), KeysAck)
 
-    async def notify(self, address: Address, frame: RecordsPush | TargetDeaths) -> bool:
+    async def notify(self, address: Address, frame: RecordsPush | TargetCrashes) -> bool:
         """Send a frame that has no reply; return whether there is a link to send it on."""
         try:
             (await self._get_link(address)).send(frame)
--- a/dunlinsaddle/calls/listener.py
+++ b/dunlinsaddle/calls/listener.py
@@ -81,7 +81,7 @@
             self._idle.clear()
             await self._idle.wait()
 
-    def note_idle(self) -> None:
+    def notify_idle_waiters(self) -> None:
         """Wake the tasks in ``wait_idle`` to check again."""
         self._idle.set()
 
--- a/dunlinsaddle/calls/member_calls.py
+++ b/dunlinsaddle/calls/member_calls.py
@@ -24,7 +24,7 @@
 
     async def call(
         self,
-        work: PendingCall,
+        call: PendingCall,
         member: Member,
         *,
         owner_lookups: int = 0,
@@ -32,23 +32,23 @@
     ) -> Reply | NotSent | Lost:
         """Send a call; for the two options see the fields of ``Call``."""
         loop = asyncio.get_running_loop()
-        handed_tokens = work.allowance.delegate()
-        call = build_call_frame(work, loop.time(), handed_tokens)
-        call.owner_lookups, call.owner_approved = owner_lookups, owner_approved
+        delegated_tokens = call.allowance.delegate()
+        frame = build_call_frame(call, loop.time(), delegated_tokens)
+        frame.owner_lookups, frame.owner_approved = owner_lookups, owner_approved
         self.router.record_sent(member.instance)
         try:
-            reply = await self.links.call(member.peers, call)
+            reply = await self.links.call(member.peers, frame)
         except asyncio.CancelledError:
             self.router.record_answer(loop.time(), member.instance, None)
             raise
         match reply:
             case Reply():
                 self.router.record_answer(loop.time(), member.instance, reply.load)
-                work.allowance.reclaim(handed_tokens, reply.unspent_retry_tokens)
-                reply.unspent_retry_tokens = work.allowance.tokens
+                call.allowance.reclaim(delegated_tokens, reply.unspent_retry_tokens)
+                reply.unspent_retry_tokens = call.allowance.tokens
             case NotSent():
                 self.router.record_failure(loop.time(), member.instance)
-                work.allowance.reclaim(handed_tokens, handed_tokens)
+                call.allowance.reclaim(delegated_tokens, delegated_tokens)
             case Lost():
                 self.router.record_failure(loop.time(), member.instance)
         return reply
--- a/dunlinsaddle/calls/messages.py
+++ b/dunlinsaddle/calls/messages.py
@@ -82,7 +82,7 @@
     idempotent: bool
     idempotency_key: str = ''
     fingerprint: int = 0
-    deaths: int = 0
+    crash_count: int = 0
     owner_lookups: HopCount = 0  #: nodes already asked for the owner of the key
     owner_approved: bool = False  #: the owner of the key has decided that the call may run
     useful_seconds: Seconds = MAX_TIMEOUT_SECONDS  #: after which an answer is worth less
@@ -92,7 +92,7 @@
 
 
 class Reply(msgspec.Struct, tag='r', array_like=True):
-    """The whole answer to a call, with what is known about the work done for it."""
+    """The whole response to a call, with its outcome and the load of the target."""
 
     id: int
     status: StatusCode
@@ -103,8 +103,8 @@
     retry_after: Seconds = 0.0
     unspent_retry_tokens: RetryTokens = 0
     load: Load | None = None
-    deaths: int = 0
-    cause: str = ''  #: the call that made it fail: its service, and how it ended
+    crash_count: int = 0  #: targets that crashed while they ran the request
+    cause: str = ''  #: the downstream call that made it fail: its service, and how it ended
     target_state: RelayedTargetState | None = None  #: None if the target advertised nothing
 
     @property
@@ -183,10 +183,11 @@
 
 
 class RecordsPush(msgspec.Struct, tag='rp', array_like=True):
-    """All changes after one version and up to another, sent unrequested by a node of ``domain``.
+    """Changes that a node of ``domain`` sends unrequested.
 
-    ``tree_root`` is the instance at the root of the broadcast tree over that domain, empty if
-    the push does not follow a tree.
+    These are all changes after ``since_version``, up to and including ``up_to_version``.
+    ``tree_root`` is the instance at the root of the broadcast tree over that domain, empty if the
+    push does not follow a tree.
     """
 
     since_version: int
@@ -196,11 +197,11 @@
     entries: list[RecordEntry]
 
 
-class TargetDeaths(msgspec.Struct, tag='d', array_like=True):
-    """How many targets died while they ran the request with this fingerprint."""
+class TargetCrashes(msgspec.Struct, tag='d', array_like=True):
+    """How many targets crashed while they ran the request with this fingerprint."""
 
     fingerprint: int
-    deaths: int
+    crash_count: int
 
 
 class FinishedKey(msgspec.Struct, array_like=True):
@@ -242,7 +243,7 @@
     | RecordsRequest
     | RecordsResponse
     | RecordsPush
-    | TargetDeaths
+    | TargetCrashes
     | KeysPush
     | KeysAck
 )
--- a/dunlinsaddle/calls/owned_keys.py
+++ b/dunlinsaddle/calls/owned_keys.py
@@ -17,7 +17,7 @@
 from dunlinsaddle.policy.retry import RetryAllowance
 from dunlinsaddle.stats import Stats
 
-RETRY_AFTER_SECONDS = 1.0  #: reading the map of owners takes less
+RETRY_AFTER_SECONDS = 1.0  #: longer than reading the map of owners takes
 MAX_FORWARDS = 2  #: nodes a run is forwarded to: enough if one drains and the next is full
 FORWARDED_KINDS = frozenset({ErrorKind.DRAINING, ErrorKind.NO_TARGET, ErrorKind.OVERLOADED})
 ACCEPTED = 'accepted'
@@ -25,7 +25,7 @@
 
 
 class OwnedKeys:
-    """The keys that this node owns, and their runs, here or forwarded to another node."""
+    """The keys that this node owns, and their runs at the local target or at another node."""
 
     def __init__(
         self,
@@ -53,7 +53,7 @@
             await asyncio.wait(self._run_tasks)
 
     def find_reply(self, call: PendingCall, key: str) -> Reply | None:
-        """Return the reply to a key that is remembered here, or None."""
+        """Return the reply to a key that this node remembers, or None."""
         known_reply = self.table(call.ctx.service).lookup(key, call.ctx.fingerprint)
         return None if known_reply is None else self._replay(known_reply)
 
--- a/dunlinsaddle/calls/peer_server.py
+++ b/dunlinsaddle/calls/peer_server.py
@@ -27,7 +27,7 @@
     RecordsRequest,
     RecordsResponse,
     Reply,
-    TargetDeaths,
+    TargetCrashes,
     Welcome,
     refusal,
 )
@@ -62,7 +62,7 @@
         self.server.links.discard(self)
         for task in list(self.tasks.values()):
             task.cancel()
-        self.server.note_idle()
+        self.server.notify_idle_waiters()
 
     def pause_writing(self) -> None:
         # Read no more calls from a peer that does not read replies, or the replies to them
@@ -74,7 +74,7 @@
         super().resume_writing()
         if not self.transport.is_closing():
             self.transport.resume_reading()
-        self.server.note_idle()
+        self.server.notify_idle_waiters()
 
     @property
     def idle(self) -> bool:
@@ -96,8 +96,8 @@
                 response = self.server.on_records(frame)
                 if response is not None:
                     self.send(response)
-            case TargetDeaths() if self.instance:
-                self.server.on_deaths(frame)
+            case TargetCrashes() if self.instance:
+                self.server.on_target_crashes(frame)
             case KeysPush() if self.instance:
                 self.server.on_keys(frame)
                 self.send(KeysAck(frame.id))
@@ -141,7 +141,7 @@
                 self.send(reply)
         finally:
             del self.tasks[call.id]
-            self.server.note_idle()
+            self.server.notify_idle_waiters()
 
     async def _get_reply(self, call: Call) -> Reply:
         try:
@@ -171,7 +171,7 @@
         self.links: set[_ServerLink] = set()
         self.rejected_handshakes = 0
         self.on_records: RecordsHandler = lambda frame: None
-        self.on_deaths: Callable[[TargetDeaths], None] = lambda frame: None
+        self.on_target_crashes: Callable[[TargetCrashes], None] = lambda frame: None
         self.on_keys: Callable[[KeysPush], None] = lambda frame: None
         self._server: asyncio.Server | None = None
         self._idle = asyncio.Event()
@@ -191,7 +191,7 @@
             self._idle.clear()
             await self._idle.wait()
 
-    def note_idle(self) -> None:
+    def notify_idle_waiters(self) -> None:
         """Wake the tasks in ``wait_idle`` to check again."""
         self._idle.set()
 
--- a/dunlinsaddle/calls/target.py
+++ b/dunlinsaddle/calls/target.py
@@ -1,4 +1,4 @@
-"""The target beside a node: its state, and the dialect in which the node talks to it."""
+"""The target beside a node: its state, and the protocol between the node and the target."""
 
 from collections.abc import Callable
 from typing import NamedTuple, Protocol
@@ -22,16 +22,16 @@
 
 
 class TargetDialect(Protocol):
-    """How a node talks to a target: headers of requests and meaning of responses."""
+    """The protocol between a node and a target: request headers and meaning of responses."""
 
-    def request_headers(self, work: PendingCall, running: RunningCall, seconds: float) -> Headers:
+    def request_headers(self, call: PendingCall, running: RunningCall, seconds: float) -> Headers:
         """Return the request headers of a call that has ``seconds`` until its deadline."""
 
-    def matches_request(self, work: PendingCall, headers: Headers) -> bool:
+    def matches_request(self, call: PendingCall, headers: Headers) -> bool:
         """Return whether a response with these headers belongs to this call."""
 
     def read_reply(self, response: HttpResponse) -> Reply:
-        """Return the reply to the call that a complete response stands for."""
+        """Convert a complete response to the reply to the call."""
 
     def read_advertised_state(self, response: HttpResponse) -> AdvertisedState | None:
         """Return the state advertised by the target; None if the response is not its own."""
@@ -40,16 +40,16 @@
 class DefaultDialect:
     """The default dialect: a target passes a token on with the calls that it makes."""
 
-    def request_headers(self, work: PendingCall, running: RunningCall, seconds: float) -> Headers:
+    def request_headers(self, call: PendingCall, running: RunningCall, seconds: float) -> Headers:
         """Return the forwarded headers of the caller, the time left, and the token."""
         return [
-            *((n, v) for n, v in forwarded_headers(work.headers) if n != b'request-timeout'),
+            *((n, v) for n, v in forwarded_headers(call.headers) if n != b'request-timeout'),
             (b'request-timeout', f'{seconds:.3f}'.encode()),
             (b'dunlinsaddle-call', running.token.encode()),
-            (b'dunlinsaddle-request', work.ctx.request_id.encode()),
+            (b'dunlinsaddle-request', call.ctx.request_id.encode()),
         ]
 
-    def matches_request(self, work: PendingCall, headers: Headers) -> bool:
+    def matches_request(self, call: PendingCall, headers: Headers) -> bool:
         """Accept every response: in this dialect responses do not name their request."""
         return True
 
@@ -59,7 +59,7 @@
         return Reply(0, response.status, headers, response.body, Outcome.DONE)
 
     def read_advertised_state(self, response: HttpResponse) -> AdvertisedState | None:
-        """Return None: in this dialect targets request their drain and advertise no rate."""
+        """Return None: in this dialect a target requests its drain and advertises no state."""
         return None
 
 
--- a/dunlinsaddle/mesh/ingress.py
+++ b/dunlinsaddle/mesh/ingress.py
@@ -1,32 +1,22 @@
 """Handler for requests of callers and for the local target's own calls to other services."""
-
 import asyncio
 import math
-from collections.abc import Callable
-from random import Random
-
 import uuid6
-from result import Err, Ok
-
+from collections.abc import Callable
 from dunlinsaddle.access.authentication import Authenticator, CallerOrganisation, effective_rank
 from dunlinsaddle.access.quotas import QuotaCoordinator
 from dunlinsaddle.calls.call_state import PendingCall, RunningCall, RunningCalls, WaitTime
 from dunlinsaddle.calls.decisions import DecisionLog
 from dunlinsaddle.calls.dispatch import Dispatcher
 from dunlinsaddle.calls.handlers import request_fingerprint
-from dunlinsaddle.calls.http import MIN_SERVER_ERROR_STATUS, HttpRequest, HttpResponse
+from dunlinsaddle.calls.http import HttpRequest, HttpResponse, MIN_SERVER_ERROR_STATUS
 from dunlinsaddle.calls.messages import Reply, refusal
 from dunlinsaddle.errors import ErrorKind, Failure, Outcome
 from dunlinsaddle.loops import LoopBound
 from dunlinsaddle.mesh.retries import AttemptAllowance
-from dunlinsaddle.platform.requests import (
-    CallerHeaders,
-    build_caller_response,
-    build_forwarded_headers,
-    read_caller_headers,
-)
+from dunlinsaddle.platform.requests import CallerHeaders, build_caller_response, build_forwarded_headers, read_caller_headers
 from dunlinsaddle.policy.admission import Load
-from dunlinsaddle.policy.context import MAX_HOPS, CallContext, priority_of
+from dunlinsaddle.policy.context import CallContext, MAX_HOPS, priority_of
 from dunlinsaddle.policy.failure_throttle import FailureThrottle
 from dunlinsaddle.policy.request_costs import RequestCosts
 from dunlinsaddle.policy.retry_budget import RetryBudget
@@ -34,6 +24,8 @@
 from dunlinsaddle.routes.config_follower import ConfigFollower
 from dunlinsaddle.routes.models import Route
 from dunlinsaddle.routes.table import choose_service
+from random import Random
+from result import Err, Ok
 
 DEFAULT_TIMEOUT_SECONDS = 10.0  #: for requests without a deadline header
 #: Shortest Retry-After of a request that failed because of a call of its target. It is the latency
@@ -72,8 +64,8 @@
         self.running = running
         self.rng = rng
         self.on_end = on_end
-        self.costs = RequestCosts()
-        self.outcomes = FailureThrottle()
+        self.request_costs = RequestCosts()
+        self.failure_throttle = FailureThrottle()
 
     async def handle(self, req: HttpRequest) -> HttpResponse:
         """Route one request and return its response."""
@@ -133,7 +125,7 @@
         # Critical requests are admitted even if most of them fail: one success in five is worth
         # the work that the others waste.
         can_be_shed = call.ctx.priority.rank is not Rank.CRITICAL
-        if can_be_shed and not self.outcomes.admits(self.now(), rule):
+        if can_be_shed and not self.failure_throttle.admits(self.now(), rule):
             return self.dispatcher.refuse_failing_rule(call)
         early_refusal = self.dispatcher.find_early_refusal(call)
         if early_refusal is not None:
@@ -147,7 +139,7 @@
         if reply.outcome is Outcome.NOT_RUN:
             self.quotas.refund(lease)
         else:
-            self.outcomes.record_end(self.now(), rule, failed=bool(reply.cause))
+            self.failure_throttle.record_end(self.now(), rule, failed=bool(reply.cause))
         return reply
 
     def _log_denied(
@@ -161,7 +153,7 @@
             parent.downstream_cost += load.cost
             return
         ctx = call.ctx
-        self.costs.record(self.now(), ctx.rule, ctx.priority.rank, load.cost)
+        self.request_costs.record(self.now(), ctx.rule, ctx.priority.rank, load.cost)
 
     def _build_call(
         self,
@@ -184,7 +176,7 @@
         request_id = caller_headers.request_id or str(uuid6.uuid7())
         if parent is None:
             priority = priority_of(effective_rank(route, holder), request_id)
-            priority = self.costs.adjust_priority(now, route.name, priority)
+            priority = self.request_costs.adjust_priority(now, route.name, priority)
         else:
             # A call has the priority of its parent request, as the ingress compares parent requests
             # with the level that the called service admits. If calls had a rank of their own and a
--- a/dunlinsaddle/mesh/node.py
+++ b/dunlinsaddle/mesh/node.py
@@ -1,13 +1,8 @@
 """A node on the users' platform: creates its components, connects them and runs their tasks."""
-
 import asyncio
 import contextlib
 import logging
 from collections.abc import Callable, Coroutine
-from functools import partial
-from random import Random
-from typing import TYPE_CHECKING, Any, NamedTuple
-
 from dunlinsaddle.access.authentication import Authenticator
 from dunlinsaddle.access.configuration_lease import ConfigurationLease
 from dunlinsaddle.access.peers import GossipPeers
@@ -53,6 +48,9 @@
 from dunlinsaddle.routes.models import Configuration
 from dunlinsaddle.settings import Address
 from dunlinsaddle.stats import CallLabel, Hop, Stats
+from functools import partial
+from random import Random
+from typing import Any, NamedTuple, TYPE_CHECKING
 
 if TYPE_CHECKING:
     from dunlinsaddle.mesh.metrics import MeshMetrics
@@ -167,7 +165,7 @@
         self.crash_notifier = CrashNotifier(
             self.links, self.quarantine, self._other_members, self.logger
         )
-        self.peer_server.on_deaths = self.crash_notifier.receive
+        self.peer_server.on_target_crashes = self.crash_notifier.receive
 
     def _build_calls(self) -> None:
         cfg = self.settings
@@ -206,8 +204,8 @@
         self.target_status = TargetStatus(
             self.target, self.admission, self.decisions, self._announce_self
         )
-        self.executor.on_target_status = self.target_status.update
-        self.executor.target_status = self.target_status.peer_report
+        self.executor.on_advertised_state = self.target_status.update
+        self.executor.get_relayed_state = self.target_status.peer_report
 
     def _build_listeners(self) -> None:
         cfg = self.settings
--- a/dunlinsaddle/metrics.py
+++ b/dunlinsaddle/metrics.py
@@ -157,7 +157,7 @@
         'dunlinsaddle.key_ranges',
         '{range}',
         'Key ranges that this node owns for the service of its target.',
-        lambda: [(router.keeper.owned_ranges(service()).ranges, {})],
+        lambda: [(router.range_manager.owned_ranges(service()).ranges, {})],
     )
     metrics.gauge(
         'dunlinsaddle.keys_held',
--- a/dunlinsaddle/node.py
+++ b/dunlinsaddle/node.py
@@ -1,13 +1,8 @@
 """Builds the parts of one node, connects them and runs their background tasks."""
-
 import asyncio
 import contextlib
 import logging
 import secrets
-from functools import partial
-from random import Random
-from typing import Any
-
 from dunlinsaddle.admin import OperatorHandler
 from dunlinsaddle.calls.call_state import RunningCalls, read_call_frame, record_added_latency
 from dunlinsaddle.calls.client import HttpClient
@@ -33,13 +28,7 @@
 from dunlinsaddle.membership.liveness import TargetMonitor
 from dunlinsaddle.membership.roster import Bootstrap, RosterStore
 from dunlinsaddle.membership.view import Member, MemberView, State
-from dunlinsaddle.metrics import (
-    LabeledValues,
-    Metrics,
-    observe_keys,
-    observe_records,
-    observe_stats,
-)
+from dunlinsaddle.metrics import LabeledValues, Metrics, observe_keys, observe_records, observe_stats
 from dunlinsaddle.platform.client import HttpObjectStore
 from dunlinsaddle.platform.store import ObjectStore
 from dunlinsaddle.policy.admission import Admission
@@ -52,6 +41,9 @@
 from dunlinsaddle.records.sync import RecordSync
 from dunlinsaddle.settings import Settings
 from dunlinsaddle.stats import Stats
+from functools import partial
+from random import Random
+from typing import Any
 
 #: How long idempotency keys are remembered if no record of the service sets it.
 DEFAULT_KEY_WINDOW_SECONDS = 900.0
@@ -122,9 +114,9 @@
         rng = Random(self.env.rng.random())
         horizon = int(self.settings.range_horizon * 1000)
         self.clock = clock
-        self.keeper = RangeManager(self.store, owner, clock.now, rng, horizon)
+        self.range_manager = RangeManager(self.store, owner, clock.now, rng, horizon)
         self.idempotency_router = IdempotencyRouter(
-            self.keeper,
+            self.range_manager,
             self.view,
             router,
             self.links,
@@ -134,7 +126,7 @@
             self._key_window,
         )
         self.dispatcher.idempotency_router = self.idempotency_router
-        self.range_updater = LocalRangeUpdater(self.keeper, self.view, self._local_service)
+        self.range_updater = LocalRangeUpdater(self.range_manager, self.view, self._local_service)
 
     def _local_service(self) -> LocalService:
         return LocalService(self.target.service, self.target.draining)
@@ -180,7 +172,7 @@
             self.logger,
         )
         self.peer_server.on_records = sync.handle_frame
-        self.peer_server.on_deaths = self.crash_notifier.receive
+        self.peer_server.on_target_crashes = self.crash_notifier.receive
         self.peer_server.on_keys = partial(take_over_keys, self.idempotency_router.tables)
         return sync
 
@@ -212,7 +204,7 @@
     def use_store(self, store: ObjectStore) -> None:
         """Replace the object store. Must be called before ``start``."""
         self.store = store
-        self.keeper.store = store
+        self.range_manager.store = store
         self.sync.store = store
 
     async def start(self) -> ListenAddresses:
@@ -230,7 +222,7 @@
         )
         host = host_identity(cfg.peers)
         if host:
-            self.keeper.listener = ListenerIdentity(host, self.clock.loop_epoch())
+            self.range_manager.listener = ListenerIdentity(host, self.clock.loop_epoch())
         self.agent.start(self.local_member())
         roster = RosterStore(self.store, cfg.domain)
         bootstrap = Bootstrap(roster, self.agent.gossip, Random(self.env.rng.random()))
@@ -261,10 +253,10 @@
                 await self.running.wait_idle()
                 await self.idempotency_router.wait_idle()
                 await releasing_ranges
-                self.keeper.close()
+                self.range_manager.close()
                 await self.idempotency_router.wait_idle()
                 result = await hand_over_keys(
-                    self.idempotency_router.tables, self.keeper, self.view, self.links
+                    self.idempotency_router.tables, self.range_manager, self.view, self.links
                 )
                 log_handover(self.logger, result)
                 await self.local_listener.wait_idle()
@@ -277,7 +269,7 @@
         for listener in (self.callers_listener, self.local_listener, self.operators_listener):
             listener.close()
         self.agent.leave()
-        self.keeper.close()
+        self.range_manager.close()
         self.crash_notifier.close()
         self.peer_server.close()
         self.links.close()
--- a/dunlinsaddle/policy/admission.py
+++ b/dunlinsaddle/policy/admission.py
@@ -45,7 +45,7 @@
 
     inflight: int = 0
     waiting: int = 0
-    limit: float = INITIAL_LIMIT
+    limit: float = INITIAL_LIMIT  #: concurrency limit
     level: float = LOWEST_LEVEL  #: the admitted level, with a fraction of the next
     age: float = 0.0  #: seconds since the target that admits the level confirmed it
     limited_by: str = ''  #: the service whose target admits the level
--- a/dunlinsaddle/policy/concurrency_limit.py
+++ b/dunlinsaddle/policy/concurrency_limit.py
@@ -58,8 +58,8 @@
         self.started = 0
         self.ended = 0
         self.samples = 0
-        self.total = 0.0
-        self.squares = 0.0
+        self.inflation_sum = 0.0
+        self.inflation_square_sum = 0.0
         self.peak_inflight = 0
         self.inflations: dict[str, list[float]] = {}  #: by rule, for rules with a baseline
         self.new_rule_times: dict[str, list[float]] = {}  #: own times of rules without a baseline
@@ -72,12 +72,12 @@
 
     def mean(self) -> float:
         """Return the mean inflation."""
-        return self.total / self.samples
+        return self.inflation_sum / self.samples
 
     def standard_error(self) -> float:
         """Return the standard error of the mean inflation."""
         mean = self.mean()
-        variance = max(self.squares / self.samples - mean * mean, 0.0)
+        variance = max(self.inflation_square_sum / self.samples - mean * mean, 0.0)
         return float((variance / self.samples) ** 0.5)
 
 
@@ -176,8 +176,8 @@
         inflation = own_time / baseline
         cohort.inflations.setdefault(rule, []).append(inflation)
         cohort.samples += 1
-        cohort.total += inflation
-        cohort.squares += inflation * inflation
+        cohort.inflation_sum += inflation
+        cohort.inflation_square_sum += inflation * inflation
         if self._trial is not None:
             return
         if self.value < max(self._proven_limit, self._limit_before_restart):
--- a/dunlinsaddle/policy/context.py
+++ b/dunlinsaddle/policy/context.py
@@ -1,4 +1,4 @@
-"""The context of a call: what every hop knows of the request it works for."""
+"""The context of a call, passed on to every hop, and the priority of its root request."""
 
 import math
 from typing import NamedTuple
@@ -43,7 +43,7 @@
 
 
 class CallContext(NamedTuple):
-    """One call with what its hops need to know. ``deadline`` is in seconds of the loop's clock."""
+    """Context of one call. ``deadline`` is a time of the event loop's clock, in seconds."""
 
     request_id: str
     caller: str
@@ -51,12 +51,12 @@
     rule: str
     priority: Priority
     deadline: float
-    allowance: int
+    allowance: int  #: retry tokens
     hop: int
     idempotent: bool
     key: str
     fingerprint: int
-    deaths: int = 0  #: targets that were lost while they ran this request
+    crash_count: int = 0  #: targets that crashed while they ran this request
     useful_until: float = math.inf  #: time of the loop's clock after which an answer is worth less
     is_resend: bool = False  #: whether this call or its root request was sent before
     organisation: str = ''  #: the organisation that sent the root request
--- a/dunlinsaddle/policy/failure_throttle.py
+++ b/dunlinsaddle/policy/failure_throttle.py
@@ -2,12 +2,13 @@
 
 from math import exp
 
-WEIGHT = 0.25  #: of one request in its rule's failure share; three failures in a row exceed half
+#: Weight of one request in its rule's failure share; after three failures in a row it exceeds half.
+SAMPLE_WEIGHT = 0.25
 #: Time constant in seconds with which a failure share decays. The causes of such failures mostly
 #: last some seconds, and a throttled rule completes few requests that could update its share.
 DECAY_SECONDS = 5.0
-#: Share of a rule's requests that is always admitted. It shows when requests succeed again, within
-#: a second at an entry that gets some ten requests a second.
+#: Share of a rule's requests that is always admitted, so that a recovery is noticed: within a
+#: second at an entry that gets some ten requests a second.
 MIN_ADMITTED_SHARE = 0.25
 #: Success share from which a rule is not throttled, because enough of its requests succeed. Below
 #: it the admitted share falls with the square, so that random variation throttles little.
@@ -15,7 +16,9 @@
 MAX_RULES = 4096  #: rules that are kept; a configuration grows by some hundred routes
 
 
-class _Rule:
+class _RuleState:
+    """The failure share and the admission credit of one rule."""
+
     __slots__ = ('credit', 'failed_share', 'heard')
 
     def __init__(self) -> None:
@@ -36,7 +39,7 @@
     """
 
     def __init__(self) -> None:
-        self._rules: dict[str, _Rule] = {}
+        self._rules: dict[str, _RuleState] = {}
 
     def record_end(self, now: float, rule: str, *, failed: bool) -> None:
         """Record the end of a request; ``failed`` if one of its calls failed."""
@@ -46,9 +49,9 @@
                 return
             if len(self._rules) >= MAX_RULES:
                 self._rules.clear()
-            state = self._rules[rule] = _Rule()
+            state = self._rules[rule] = _RuleState()
         failed_share = _decayed_share(now, state)
-        state.failed_share = failed_share + WEIGHT * (failed - failed_share)
+        state.failed_share = failed_share + SAMPLE_WEIGHT * (failed - failed_share)
         state.heard = now
 
     def admits(self, now: float, rule: str) -> bool:
@@ -65,5 +68,5 @@
         return True
 
 
-def _decayed_share(now: float, rule: _Rule) -> float:
-    return rule.failed_share * exp((rule.heard - now) / DECAY_SECONDS)
+def _decayed_share(now: float, state: _RuleState) -> float:
+    return state.failed_share * exp((state.heard - now) / DECAY_SECONDS)
--- a/dunlinsaddle/policy/key_table.py
+++ b/dunlinsaddle/policy/key_table.py
@@ -1,6 +1,6 @@
 """Table of the idempotency keys that an owner has run, in bounded memory.
 
-One rule prevents a key from running twice whatever the clocks do: an entry is dropped only once
+Three rules prevent a key from running twice whatever the clocks do: an entry is dropped only once
 the floor is above its creation time (``birth``), the floor never falls, and no key created below
 the floor is ever run. A clock that jumps, a window that an operator changes and a full table only
 raise the floor: they cause refusals, never a second run.
--- a/dunlinsaddle/policy/level.py
+++ b/dunlinsaddle/policy/level.py
@@ -34,8 +34,8 @@
 REPORTED_LEVEL_WEIGHT = 0.25  #: weight of one reported level; some four of them count
 STALE_AFTER_SECONDS = 0.5  #: seconds without a report after which a known level reopens
 REOPEN_LEVELS_PER_SECOND = 256.0
-#: Share of a request's useful time after which a refused caller is told to retry. Half of the time
-#: is left for the retry, which takes a fifth to a third of it when it is admitted.
+#: Retry-After of an early refusal, as a share of the time for which an answer is useful. The rest
+#: is left for the retry, which takes a fifth to a third of the time when it is admitted.
 RETRY_AFTER_SHARE = 0.5
 MAX_RETRY_AFTER_SECONDS = 8.0  #: an overload is mostly over by then
 CLOSED_LEVEL = -1.0  #: the level of a service that admits nothing
@@ -86,7 +86,7 @@
         decay = exp(-elapsed / self._averaging_seconds)
         # A steady demand of r calls a second adds up to r x elapsed / (1 - decay) calls. That is
         # 10 % more than r x averaging time at the longest averaging time and 25 % more at the
-        # shortest; a capacity that is just sufficient would stay closed by as much.
+        # shortest. Without the correction, so much of a just sufficient capacity would stay unused.
         window = elapsed / (1 - decay)
         self._discard_ended_surge(elapsed, window)
         self.demand = sum(self._counts) / window
@@ -194,7 +194,7 @@
 
 
 class _KnownLevel:
-    """The averaged level of one service, and when it was last confirmed."""
+    """The moving average of the level of one service, and when it was last confirmed."""
 
     __slots__ = ('confirmed', 'level')
 
@@ -209,7 +209,7 @@
     A level that is not refreshed reopens by itself: if all calls to a service are refused early,
     no response arrives that reports the end of the overload. The age of a level is passed on with
     it. Otherwise services that call each other in a circle would confirm a low level to each other
-    long after its target has opened.
+    long after its target admits more again.
     """
 
     def __init__(self) -> None:
@@ -266,10 +266,10 @@
         that it is open.
         """
         lowest = own
-        for (service, called), last in self._called_rules.get(rule, {}).items():
-            if now - last > CALL_EDGE_TTL_SECONDS:
+        for (service, called_rule), called_at in self._called_rules.get(rule, {}).items():
+            if now - called_at > CALL_EDGE_TTL_SECONDS:
                 continue
-            below = self._lowest_level(now, service, called)
+            below = self._lowest_level(now, service, called_rule)
             if below is not None and below.level <= lowest.level:
                 lowest = below
         return lowest
@@ -281,8 +281,8 @@
 
     def _lowest_level(self, now: float, service: str, rule: str) -> ReportedLevel | None:
         lowest: ReportedLevel | None = None
-        for source, last in self._limiting_services.get((service, rule), {}).items():
-            if now - last > CALL_EDGE_TTL_SECONDS:
+        for source, limited_at in self._limiting_services.get((service, rule), {}).items():
+            if now - limited_at > CALL_EDGE_TTL_SECONDS:
                 continue
             known = self._levels[source]
             level = _reopened_level(known, now)
@@ -297,12 +297,12 @@
         rule: str,
         level: int,
         hop: int = 0,
-        useful_for: float = math.inf,
+        useful_seconds: float = math.inf,
     ) -> Failure | None:
         """Return the refusal of a request that would be refused further down, else None.
 
-        ``useful_for`` is the number of seconds for which an answer keeps its full value: callers
-        are told to retry early enough for one more attempt within that time.
+        ``useful_seconds`` is how long an answer keeps its full value. The Retry-After is short
+        enough for one more attempt within that time.
 
         Only the entry refuses early. A level changes while a request is in flight; refusing by it
         at a later hop would waste the work of all hops before, and a chain of eleven hops would
@@ -317,15 +317,17 @@
         if level <= admitted or self._admits_partly(level - admitted):
             return None
         excess = level / max(admitted, 1.0)
-        return self.refuse(useful_for, min(1.0 + excess, MAX_RETRY_AFTER_SECONDS))
+        return self.refuse(useful_seconds, min(1.0 + excess, MAX_RETRY_AFTER_SECONDS))
 
-    def refuse(self, useful_for: float, longest: float = MAX_RETRY_AFTER_SECONDS) -> Failure:
+    def refuse(
+        self, useful_seconds: float, max_seconds: float = MAX_RETRY_AFTER_SECONDS
+    ) -> Failure:
         """Return an early refusal whose Retry-After leaves time for one more attempt.
 
-        ``longest`` bounds the Retry-After time in seconds, before jitter.
+        ``max_seconds`` bounds the Retry-After time in seconds, before jitter.
         """
         self._refusals += 1
-        seconds = apply_jitter(min(longest, useful_for * RETRY_AFTER_SHARE), self._refusals)
+        seconds = apply_jitter(min(max_seconds, useful_seconds * RETRY_AFTER_SHARE), self._refusals)
         return Failure(ErrorKind.REFUSED_EARLY, retry_after=seconds)
 
     def _admits_partly(self, excess_levels: float) -> bool:
--- a/dunlinsaddle/policy/ownership.py
+++ b/dunlinsaddle/policy/ownership.py
@@ -26,7 +26,7 @@
 EXTEND_BELOW_SHARE = 0.8  #: an owner extends when less than this share of the horizon is left
 CLAIM_BELOW_MS = 60_000  #: other nodes claim the next interval when less than this is left
 CLOSED_RETENTION_MS = 3_600_000  #: how long closed intervals stay in the list
-#: Greatest distance of the end of an interval that is handed over behind the owner's clock.
+#: How far behind the owner's clock an interval that is handed over may end.
 HANDOVER_BACKDATE_MS = 60_000
 MAX_HANDOVERS_PER_PLAN = 8
 #: Margin after a former run's clock, beyond the creation time of any key that it accepted.
@@ -202,7 +202,7 @@
     callers would get "unknown" for the whole horizon. That this run can listen at the endpoint
     proves that the former run has ended, as a stopped process still holds its port. The interval
     is closed after every key that the former run can have accepted: it accepted none further
-    ahead of its clock than the margin, and the two clock origins tell what its clock would show.
+    ahead of its clock than the margin, and the two clock origins show what its clock would be.
     """
     last = intervals[-1] if intervals else None
     former = listeners.get(last.owner.epoch) if last else None
--- a/dunlinsaddle/policy/quota.py
+++ b/dunlinsaddle/policy/quota.py
@@ -28,8 +28,8 @@
 #: on the other side of a network partition, which continues to lend there.
 SUBSTITUTE_RATE_SHARE = 0.25
 SUBSTITUTE_IDLE_SECONDS = 1.0  #: idle time after which a substitute's bucket is reset
-#: Longest delay that callers are asked for. Most callers that return within it are still answered
-#: while the answer is worth most.
+#: Longest Retry-After. Most callers that retry within it are still answered while the answer has
+#: its full value.
 MAX_RETRY_AFTER_SECONDS = 0.8
 MAX_BUCKETS = 20_000  #: organisations to which one node lends; bounds memory
 
@@ -88,7 +88,7 @@
         self.tokens = tokens
         self.at = now  #: time of the latest refill
         self.started_at = started_at
-        self.promised = now  #: time until which the refill is reserved for refused callers
+        self.promised = now  #: time until which refilled tokens are reserved for refused callers
         self.recent = SlidingCount(COUNT_SLOT_SECONDS, _slots(window))
 
     def take(
@@ -127,23 +127,23 @@
         self.overage = overage
         self.reachable_share = 1.0
         self._reset_at = 0.0  #: start of lending to organisations that have no bucket yet
-        self._own: dict[str, _Bucket] = {}
-        self._substituted: dict[str, _Bucket] = {}
+        self._buckets: dict[str, _Bucket] = {}
+        self._substitute_buckets: dict[str, _Bucket] = {}
 
     def reset(self, now: float, retained: Iterable[str]) -> None:
         """Drop all buckets but those of the retained organisations."""
         self._reset_at = now
         names = set(retained)
-        self._own = {name: bucket for name, bucket in self._own.items() if name in names}
+        self._buckets = {name: bucket for name, bucket in self._buckets.items() if name in names}
 
     def organisations(self) -> list[str]:
         """Return the organisations to which this node lends as their first lender."""
-        return list(self._own)
+        return list(self._buckets)
 
     def take(
         self, now: float, organisation: str, quota: Quota, *, is_first_lender: bool
     ) -> QuotaDecision:
-        """Lend for one request; not ``is_first_lender`` when substituting for another node."""
+        """Lend for one request; ``is_first_lender`` is false for a substitute of another node."""
         share = self.reachable_share * (
             1.0 + LENT_OVERAGE_SHARE * self.overage if is_first_lender else SUBSTITUTE_RATE_SHARE
         )
@@ -160,19 +160,19 @@
 
     def refund(self, organisation: str) -> None:
         """Return the token of a request that did not run."""
-        bucket = self._own.get(organisation) or self._substituted.get(organisation)
+        bucket = self._buckets.get(organisation) or self._substitute_buckets.get(organisation)
         if bucket is not None:
             bucket.tokens += 1
             bucket.recent.remove_one()
 
     def tokens_left(self) -> dict[str, float]:
         """Return the tokens left for each organisation, as of its latest request."""
-        return {name: bucket.tokens for name, bucket in self._own.items()}
+        return {name: bucket.tokens for name, bucket in self._buckets.items()}
 
     def _bucket(
         self, now: float, organisation: str, rate: float, *, is_first_lender: bool
     ) -> _Bucket:
-        buckets = self._own if is_first_lender else self._substituted
+        buckets = self._buckets if is_first_lender else self._substitute_buckets
         bucket = buckets.get(organisation)
         if bucket is not None and (is_first_lender or now - bucket.at < SUBSTITUTE_IDLE_SECONDS):
             return bucket
--- a/dunlinsaddle/policy/rate_limit.py
+++ b/dunlinsaddle/policy/rate_limit.py
@@ -6,11 +6,11 @@
 #: limit accepts the calls of a quarter of a second at once.
 BURST_SECONDS = 0.25
 UTILISATION_WINDOW_SECONDS = 1.0  #: averaging time of the utilisation; rates are per second
-#: Lowest rate in calls a second. Only answers tell that a rate limit has ended, so a target that
-#: accepts nothing still gets one call in four seconds.
+#: Lowest rate in calls a second. Only a response shows that a rate limit has ended, so a target
+#: that accepts nothing still gets one call in four seconds.
 MIN_RATE = 0.25
 #: Part of a token that may be missing from a whole one. A sum of refills can be short by a rounding
-#: error, and a timer set for that moment would be set for the same moment again.
+#: error, and a timer set for the missing part would be set for the same time again.
 TOKEN_TOLERANCE = 1e-6
 
 
--- a/dunlinsaddle/policy/relative_latency.py
+++ b/dunlinsaddle/policy/relative_latency.py
@@ -18,9 +18,9 @@
 class RelativeLatencies:
     """The latency ratio of each target: its time per call divided by the mean of the rule.
 
-    Guards against this failure: a target takes five times as long as the others, looks idle by
-    its load because it has slots for many more calls than it gets, and requests that must not be
-    sent again time out there. Ratios are formed within a rule, since rules differ: a lookup
+    Guards against this failure: a target takes five times as long as the others. By its load it
+    looks idle, because it has slots for many more calls than it gets, and requests that must not
+    be sent again time out there. Ratios are formed within a rule, since rules differ: a lookup
     takes a tenth of the time of a release.
     """
 
@@ -33,8 +33,8 @@
     ) -> None:
         """Record the duration of a call; unless ``completed``, its answer would have taken longer.
 
-        An incomplete call that is shorter than the mean of its rule is ignored: it says nothing
-        about how long the target takes.
+        An incomplete call that is shorter than the mean of its rule is ignored: it does not show
+        how long the target takes.
         """
         mean = self._means.get(rule)
         if not completed and (mean is None or seconds < mean):
--- a/dunlinsaddle/policy/request_costs.py
+++ b/dunlinsaddle/policy/request_costs.py
@@ -41,7 +41,7 @@
         self._costs[rule] = _Cost(rank, seconds, now)
 
     def adjust_priority(self, now: float, rule: str, priority: Priority) -> Priority:
-        """Return the priority with its slot scaled by cost: the cheaper the rule, the lower."""
+        """Return the priority with its slot scaled by cost, so that cheap rules are shed last."""
         own = self._costs.get(rule)
         if own is None:
             return priority
--- a/dunlinsaddle/policy/resend_guard.py
+++ b/dunlinsaddle/policy/resend_guard.py
@@ -8,10 +8,12 @@
 BURST = 10.0  #: early resends that a caller may make before the ratio applies
 MAX_CALLERS = 10_000  #: callers with a record; bounds memory
 MAX_REFUSALS = 50_000  #: refusals kept until their Retry-After has passed; bounds memory
-MAX_PENALTY_SECONDS = 60.0  #: longest Retry-After in a refusal by this limit
+MAX_PENALTY_SECONDS = 60.0  #: upper bound of the Retry-After in a refusal by this limit
 
 
 class _CallerRecord:
+    """The tokens of one caller, and how many of its early resends were refused recently."""
+
     __slots__ = ('early', 'tokens')
 
     def __init__(self) -> None:
@@ -25,7 +27,7 @@
     A resend is recognised by the request's id or idempotency key. It is early if it arrives before
     the time given by Retry-After in the refusal. A resend at or after that time is always allowed,
     so a caller that respects Retry-After is never limited. A caller that resends immediately is
-    refused at the entry node, before the call costs any target anything.
+    refused at the entry node, before the call uses any capacity of a target.
     """
 
     def __init__(self) -> None:
@@ -56,7 +58,7 @@
         return Failure(ErrorKind.CALLER_OVER_RATE, 'sent again before Retry-After', retry_after)
 
     def record_refusal(self, now: float, caller: str, request_key: str, retry_after: float) -> None:
-        """Record the Retry-After that the refusal of a request gave."""
+        """Record the Retry-After of a request's refusal."""
         self._retry_times[caller, request_key] = now + retry_after
         self._retry_times.move_to_end((caller, request_key))
         if len(self._retry_times) > MAX_REFUSALS:
--- a/dunlinsaddle/policy/retry.py
+++ b/dunlinsaddle/policy/retry.py
@@ -8,7 +8,8 @@
 
     The root request starts with the bound from the service record. Each hop delegates part of its
     tokens with a call, and gets the unspent ones back with the response. Tokens are lost with a
-    lost response, so the resends in a call graph of any depth and fan-out never exceed the bound.
+    lost response but never created, so the resends in a call graph of any depth and fan-out stay
+    within the bound.
     """
 
     def __init__(self, tokens: int) -> None:
--- a/dunlinsaddle/policy/retry_budget.py
+++ b/dunlinsaddle/policy/retry_budget.py
@@ -6,9 +6,9 @@
 from dunlinsaddle.policy.sliding_count import SlidingCount
 from dunlinsaddle.records.models import Rank
 
-WINDOW_SLOTS = 10  #: parts of the window; more parts would count more exactly but cost more
+WINDOW_SLOTS = 10  #: parts of the window; more parts would be more accurate but cost more time
 #: Share of the budget that is spent. The rest covers what a node cannot know: the other nodes
-#: count over slightly different windows, and the node may not have heard of some members yet.
+#: count over slightly different windows, and the node may not know some members yet.
 SPENDABLE_SHARE = 0.8
 #: Share of the budget that is reserved from the lowest priority level, and in proportion from the
 #: other levels. A scarce budget goes to the most important requests, the same at all nodes.
@@ -22,7 +22,7 @@
     """Counts first sends and repeats for each service over a sliding window.
 
     Each node may spend a ratio of the requests that it has sent itself, plus an equal part of the
-    extra allowance. The sum over all nodes so stays within the bound without coordination. Calls
+    extra allowance, so the sum over all nodes stays within the bound without coordination. Calls
     made by a repeated run are repeats at the service below and are counted in the same budget.
 
     The number of requests sent is the largest of three windows: the present one, the one before,
@@ -128,8 +128,8 @@
     def request_count(self, now: float) -> int:
         """Return the largest count of the present, the previous and the window half-way between."""
         return max(
-            self._requests.total(now, WINDOW_SLOTS, back)
-            for back in (0, WINDOW_SLOTS // 2, WINDOW_SLOTS)
+            self._requests.total(now, WINDOW_SLOTS, buckets_ago)
+            for buckets_ago in (0, WINDOW_SLOTS // 2, WINDOW_SLOTS)
         )
 
     def repeat_count(self, now: float) -> int:
--- a/dunlinsaddle/policy/route.py
+++ b/dunlinsaddle/policy/route.py
@@ -20,13 +20,13 @@
 #: domain when the nearer target is half as full again.
 OTHER_DOMAIN_COST_FACTOR = 1.5
 SAME_DOMAIN_COST_FACTOR = 1.1  #: cost of another node's target in the same domain: one more hop
-ERROR_COST_WEIGHT = 4.0  #: a target that fails every call costs five times as much
+ERROR_COST_WEIGHT = 4.0  #: the cost of a target that fails every call is five times as high
 ERROR_SHARE_DECAY = 0.9  #: moving average over about ten calls
 #: Ratio of expected latencies, failed attempts included, above which a target counts as slow.
 #: Healthy targets of one service differ by up to 2.3, which their reported load reflects well
 #: enough. An error share of 0.4 alone also exceeds the ratio.
 SLOW_TARGET_RATIO = 2.5
-#: Least cost of a slow target compared with a faster one, as if four fifths of its slots were in
+#: Minimum cost of a slow target compared with a faster one, as if four fifths of its slots were in
 #: use. By load alone a slow target looks idle while it gets no calls, and would be chosen again.
 MIN_SLOW_TARGET_COST = 0.8
 #: Age after which a target's rate is asked for again, however small this node's part of the rate.
@@ -96,10 +96,11 @@
         """Return the estimated share of the target's rate in use after one more call.
 
         When the report is so old that this node's equal part of the rate allows one call, return
-        0: that call learns the current rate and its use. Without it a target that once reported
-        a rate near zero would never be called again, and this node would not learn that the limit
-        has ended. The age depends on the number of senders: when each of hundreds of senders
-        considered a report outdated after a second, the target refused half of all calls.
+        0: the response to that call contains the current rate and its use. Without this rule a
+        target that once reported a rate near zero would never be called again, and this node would
+        not learn that the limit has ended. The age depends on the number of senders: when each of
+        hundreds of senders considered a report outdated after a second, the target refused half of
+        all calls.
         """
         if self.rate == inf:
             return 0.0
@@ -134,7 +135,7 @@
 
     One of the two comes from this node's failure domain if possible. A target without a reported
     load counts as small (``Load()``): a new instance gets more calls as its responses show that
-    it can take them.
+    it has the capacity.
     """
 
     def __init__(self, domain: str, rng: Random, instance: str = '') -> None:
@@ -143,7 +144,7 @@
         self.instance = instance
         self.sender_count = 1  #: nodes that may send calls to the same targets
         self._stats: dict[str, _TargetStats] = {}
-        self._paces = RelativeLatencies()
+        self._relative_latencies = RelativeLatencies()
         self._selections: dict[int, _CandidateSelection] = {}  #: by id() of the list of candidates
         self._exclusion_version = 0
 
@@ -152,7 +153,7 @@
     ) -> Candidate | None:
         """Return the target for a call, or None if no untried candidate is left."""
         if tried:
-            # Only resent calls get here. They are rare, so the selection is not cached.
+            # Only resends have tried targets. They are rare, so the selection is not cached.
             selection = self._select(now, [c for c in candidates if c.instance not in tried])
         else:
             selection = self._cached_selection(now, candidates)
@@ -162,8 +163,8 @@
         first = self.rng.choice(selection.same_domain or usable)
         second = self.rng.choice(usable)
         if first is second:
-            # Without a second candidate a slow or rate-limited target would be chosen
-            # unopposed. A target of usual speed is used, which renews its reported load.
+            # Without a comparison, a slow or rate-limited target would be chosen as well. A target
+            # of normal speed is used, and its response renews its reported load.
             if self._stats_of(first.instance).rate_use_after_call(now, self.sender_count) > 1:
                 return min(usable, key=lambda c: self._cost(now, c))
             second = min(usable, key=lambda c: self._expected_latency(now, c))
@@ -220,7 +221,7 @@
         self, now: float, instance: str, rule: str, seconds: float, *, completed: bool = True
     ) -> None:
         """Record how long a call took; one not ``completed`` would have taken longer."""
-        self._paces.record(now, instance, rule, seconds, completed=completed)
+        self._relative_latencies.record(now, instance, rule, seconds, completed=completed)
 
     def record_failure(self, now: float, instance: str) -> None:
         """Record a call that got no response, and eject the target after several in a row.
@@ -251,7 +252,7 @@
     def forget(self, instance: str) -> None:
         """Drop the statistics of an instance that is gone."""
         self._stats.pop(instance, None)
-        self._paces.forget(instance)
+        self._relative_latencies.forget(instance)
         self._exclusion_version += 1
 
     def latest_load(self, instance: str) -> Load:
@@ -269,7 +270,7 @@
             outstanding=stats.outstanding,
             error_share=round(stats.error_share(now), 3),
             left_out_for=round(max(stats.avoid_until - now, 0.0), 3),
-            pace=round(self._paces.ratio(now, instance), 2),
+            pace=round(self._relative_latencies.ratio(now, instance), 2),
         )
 
     def _cached_selection(
@@ -285,8 +286,8 @@
             return cached
         if len(self._selections) >= MAX_CACHED_LISTS:
             self._selections.clear()
-        ends = [self._stats_of(c.instance).avoid_until for c in candidates]
-        until = min((end for end in ends if end > now), default=inf)
+        exclusion_ends = [self._stats_of(c.instance).avoid_until for c in candidates]
+        until = min((end for end in exclusion_ends if end > now), default=inf)
         selection = self._select(now, candidates)._replace(until=until)
         self._selections[id(candidates)] = selection
         return selection
@@ -302,21 +303,23 @@
         When most targets fail, the cause is this node, the network or the request, and ejecting
         them all would direct the whole load to the few that remain.
         """
-        good = [
+        available = [
             c for c in candidates if not c.suspect and self._stats_of(c.instance).avoid_until <= now
         ]
         min_count = len(candidates) * (1 - MAX_EJECTED_SHARE)
-        if good and len(good) >= min_count:
-            return good
+        if available and len(available) >= min_count:
+            return available
         ordered = sorted(
             candidates, key=lambda c: (c.suspect, self._stats_of(c.instance).avoid_until)
         )
-        return ordered[: max(round(min_count), len(good), 1)]
+        return ordered[: max(round(min_count), len(available), 1)]
 
     def _expected_latency(self, now: float, candidate: Candidate) -> float:
         """Return the duration of a call relative to the mean, including failed attempts."""
         error_share = self._stats_of(candidate.instance).error_share(now)
-        return self._paces.ratio(now, candidate.instance) * (1 + ERROR_COST_WEIGHT * error_share)
+        return self._relative_latencies.ratio(now, candidate.instance) * (
+            1 + ERROR_COST_WEIGHT * error_share
+        )
 
     def _stats_of(self, instance: str) -> _TargetStats:
         stats = self._stats.get(instance)
--- a/dunlinsaddle/policy/slots.py
+++ b/dunlinsaddle/policy/slots.py
@@ -36,7 +36,7 @@
 #: behind it can become late in the middle of the queue. A tenth of the shortest objective, 0.3 s.
 FULL_SCAN_INTERVAL_SECONDS = 0.03
 MIN_START_DELAY_SECONDS = 0.001  #: a shorter timer may fire before the rate limit has a token
-MIN_CAPACITY_SHARE = 0.1  #: least share of the slots that is assumed to be left for a call
+MIN_CAPACITY_SHARE = 0.1  #: minimum share of the slots that is assumed to be free for a call
 MIN_RETRY_AFTER_SECONDS = 0.4  #: any sooner and callers return before the queue has moved
 MAX_RETRY_AFTER_SECONDS = 1.6  #: callers wait at most a third of their deadline of five seconds
 
@@ -51,8 +51,8 @@
 
     The level that fills the slots is reported with each response, and entries refuse requests by
     it. Otherwise a lookup passes three hops and fails here because one of its four calls is
-    refused. At 1.3 times the capacity 0.39 of all lookups were started in vain, and 0.17 with the
-    level reported upstream (`tests/test_deep_load.py`).
+    refused. At 1.3 times the capacity 0.39 of all lookups were started in vain without the report,
+    and 0.17 with it (`tests/test_deep_load.py`).
     """
 
     def __init__(self) -> None:
@@ -106,10 +106,10 @@
         if not self.queue and self._can_start(now):
             self._start(now)
             return Run()
-        if not self._in_time(now, ticket, self.queue.ahead_of(ticket)):
+        if not self._is_in_time(now, ticket, self.queue.ahead_of(ticket)):
             return self._refuse(now, ticket)
         self.queue.add(ticket)
-        late = self._late_behind(now, ticket)
+        late = self._find_late_behind(now, ticket)
         if late is not None:
             # It would be refused later anyway; refused now, its caller has time to retry.
             self.queue.discard(late)
@@ -162,7 +162,7 @@
         return Load(self.inflight, len(self.queue), self.limit, self._level.level)
 
     def _record_demand(self, now: float, ticket: Ticket) -> None:
-        """Count the demand of a call: its service time in mean ones, or 1 under a rate limit."""
+        """Count the demand of a call: its service time over the mean, or 1 under a rate limit."""
         counts_as_one = not self._mean_service_time or self._is_rate_bound()
         amount = 1.0 if counts_as_one else self._service_time(ticket.rule) / self._mean_service_time
         self._level.record_arrival(ticket.level, amount)
@@ -216,12 +216,12 @@
         slot_wait = (ahead.work_seconds + self._mean_service_time) / self.limit
         return max(slot_wait, self._rate.wait_seconds(now, ahead.calls + 1)) / share
 
-    def _in_time(self, now: float, ticket: Ticket, ahead: QueuedWork) -> bool:
+    def _is_in_time(self, now: float, ticket: Ticket, ahead: QueuedWork) -> bool:
         """Return whether a call would be answered before its deadline and its useful time end."""
         answered_at = now + self._wait_seconds(now, ticket, ahead) + self._service_time(ticket.rule)
         return answered_at <= min(ticket.deadline, ticket.useful_until)
 
-    def _late_behind(self, now: float, added: Ticket) -> Ticket | None:
+    def _find_late_behind(self, now: float, added: Ticket) -> Ticket | None:
         """Return the last call behind a new one that will not be answered in time, if any."""
         max_checks = MAX_TAIL_CHECKS
         if now - self._scanned_at >= FULL_SCAN_INTERVAL_SECONDS:
@@ -233,7 +233,7 @@
                 return None
             calls -= 1
             work_seconds -= self._service_time(ticket.rule)
-            if not self._in_time(now, ticket, QueuedWork(calls, work_seconds)):
+            if not self._is_in_time(now, ticket, QueuedWork(calls, work_seconds)):
                 return ticket
         return None
 
--- a/dunlinsaddle/replay/current_node.py
+++ b/dunlinsaddle/replay/current_node.py
@@ -1,22 +1,15 @@
 """The simulated node that uses the product's policy."""
-
 from dunlinsaddle.errors import ErrorKind, Failure
 from dunlinsaddle.policy.admission import AdmissionPolicy, Load
 from dunlinsaddle.policy.level import ChainLevels
-from dunlinsaddle.policy.quarantine import DEATHS_TO_QUARANTINE, Quarantine, Quarantined
+from dunlinsaddle.policy.quarantine import CRASHES_TO_QUARANTINE, Quarantine, Quarantined
 from dunlinsaddle.policy.resend_guard import ResendGuard
 from dunlinsaddle.policy.retry import RetryAllowance, may_resend
 from dunlinsaddle.policy.route import Candidate, Router
-from dunlinsaddle.replay.attempt import (
-    EXTERNAL_ORIGIN,
-    Attempt,
-    CallOrigin,
-    Response,
-    failure_response,
-)
+from dunlinsaddle.replay.attempt import Attempt, CallOrigin, EXTERNAL_ORIGIN, Response, failure_response
 from dunlinsaddle.replay.events import Process
 from dunlinsaddle.replay.fakes import FakeTarget
-from dunlinsaddle.replay.nodes import VIEW_DELAY_SECONDS, FakeNode, Fleet
+from dunlinsaddle.replay.nodes import FakeNode, Fleet, VIEW_DELAY_SECONDS
 from dunlinsaddle.replay.trace import Call
 
 
@@ -63,7 +56,7 @@
         return response
 
     def _check_quarantine(self, attempt: Attempt) -> Failure | None:
-        self.quarantine.merge_deaths(self.fleet.loop.now, attempt.fingerprint, attempt.deaths)
+        self.quarantine.merge_crash_count(self.fleet.loop.now, attempt.fingerprint, attempt.deaths)
         match self.quarantine.check(self.fleet.loop.now, attempt.fingerprint):
             case Quarantined(failure):
                 return failure
@@ -71,7 +64,7 @@
 
     def _record_death(self, attempt: Attempt) -> None:
         now = self.fleet.loop.now
-        attempt.deaths = self.quarantine.record_death(now, attempt.fingerprint)
+        attempt.deaths = self.quarantine.record_crash(now, attempt.fingerprint)
         self.fleet.loop.call_at(
             now + VIEW_DELAY_SECONDS, self._propagate_deaths, attempt.fingerprint, attempt.deaths
         )
@@ -80,7 +73,7 @@
         for nodes in self.fleet.nodes.values():
             for node in nodes:
                 if isinstance(node, CurrentNode):
-                    node.quarantine.merge_deaths(self.fleet.loop.now, fingerprint, deaths)
+                    node.quarantine.merge_crash_count(self.fleet.loop.now, fingerprint, deaths)
 
     def dispatch(
         self,
@@ -115,7 +108,7 @@
             response = yield from self._send_once(
                 attempt, call, allowance, listed[chosen.instance], origin.hop
             )
-            if attempt.deaths >= DEATHS_TO_QUARANTINE:
+            if attempt.deaths >= CRASHES_TO_QUARANTINE:
                 return response
             idempotent = self.fleet.is_idempotent(call.service, call.rule)
             if not may_resend(response.kind, response.outcome, idempotent=idempotent):
--- a/dunlinsaddle/routes/config_follower.py
+++ b/dunlinsaddle/routes/config_follower.py
@@ -3,37 +3,22 @@
 A few nodes of each failure domain watch the store. Every gossip message carries the configuration
 version of its sender, and a node that receives a newer version fetches it from that sender.
 """
-
 import asyncio
 import logging
 import math
 from collections.abc import Callable
-from random import Random
-from typing import Any
-
-from result import Err, Ok, Result
-
 from dunlinsaddle.access.configuration_lease import ConfigurationLease
 from dunlinsaddle.calls.link import PeerLinks
-from dunlinsaddle.calls.messages import (
-    MAX_TIMEOUT_SECONDS,
-    RecordFrame,
-    RecordsRequest,
-    RecordsResponse,
-)
+from dunlinsaddle.calls.messages import MAX_TIMEOUT_SECONDS, RecordFrame, RecordsRequest, RecordsResponse
 from dunlinsaddle.loops import Backoff, LoopBound
 from dunlinsaddle.membership.view import Member
-from dunlinsaddle.platform.store import (
-    JsonValue,
-    Listing,
-    ObjectStore,
-    StoredObject,
-    Unavailable,
-    version_to_position,
-)
+from dunlinsaddle.platform.store import JsonValue, Listing, ObjectStore, StoredObject, Unavailable, version_to_position
 from dunlinsaddle.records.models import RecordEntry
 from dunlinsaddle.routes.models import Configuration, Organisation
 from dunlinsaddle.routes.table import RouteTable
+from random import Random
+from result import Err, Ok, Result
+from typing import Any
 
 #: Duration of one watch. It bounds how long a change is missed if the answer to a watch is lost on
 #: an open connection, which cannot be detected otherwise. Shorter watches cost more calls: three
@@ -62,7 +47,7 @@
 
     Configurations are ordered by the operators' version. The store's versions only show what this
     node has read already. After the store is restored from an older copy, it may hold an older
-    configuration for a while, which no node may take for a newer one.
+    configuration for a while, which no node may treat as newer.
     """
 
     def __init__(
@@ -99,7 +84,7 @@
         #: an older copy until the operators have written the configuration again.
         self._store_is_current = True
         self._reachable: bool | None = None
-        self._fetching: asyncio.Task[None] | None = None
+        self._fetch_task: asyncio.Task[None] | None = None
 
     @property
     def version(self) -> int:
@@ -129,8 +114,8 @@
         wait_for_peers_until = self.now() + PEER_CONFIGURATION_WAIT_SECONDS
         while True:
             now = self.now()
-            watching = self.should_watch() and (now >= members_known_at or not self.version)
-            if not watching and (self.version or now < wait_for_peers_until):
+            is_watching = self.should_watch() and (now >= members_known_at or not self.version)
+            if not is_watching and (self.version or now < wait_for_peers_until):
                 # The last known status of the store is outdated once this node watches again.
                 self._reachable = None
                 await asyncio.sleep(WATCH_CHECK_SECONDS * self.rng.uniform(0.5, 1.0))
@@ -138,15 +123,15 @@
             # After a failure, start with a call that does not wait. A change may have been missed
             # on a closed connection, and a dead connection shows only when its answer is overdue.
             wait = WATCH_TIMEOUT_SECONDS if self.store_version and self._reachable else 0.0
-            began = self.now()
+            started_at = self.now()
             object_version = self._object_version
             match await self._watch(wait, grace):
                 case Ok():
                     grace = INITIAL_GRACE_SECONDS
                     self._record_store_status(reachable=True, why='')
-                    took = self.now() - began
+                    elapsed = self.now() - started_at
                     if (
-                        took < min(wait, backoff.next_seconds)
+                        elapsed < min(wait, backoff.next_seconds)
                         and self._object_version == object_version
                     ):
                         # A store without history returns a listing at once instead of waiting.
@@ -156,22 +141,22 @@
                         backoff.reset()
                 case Err(Unavailable(detail)):
                     self._record_store_status(reachable=False, why=detail)
-                    if self.now() - began >= wait + grace:
+                    if self.now() - started_at >= wait + grace:
                         grace = min(grace * 2, MAX_GRACE_SECONDS)
                     await self._ask_random_peer()
                     await backoff.pause()
 
     async def poll_store(self) -> bool:
-        """Call the store once, also if not a watcher; return whether it answered."""
+        """Call the store once, even if this node is no watcher; return whether it answered."""
         return isinstance(await self._watch(0.0, INITIAL_GRACE_SECONDS), Ok)
 
     async def _watch(self, wait: float, grace: float) -> Result[Listing, Unavailable]:
-        began = self.configuration_lease.clock()
+        started_at = self.configuration_lease.clock()
         result = await self.store.watch(self.kind, self.store_version, wait, grace)
         if isinstance(result, Ok):
             self._apply_listing(result.ok_value)
             if self._store_is_current:
-                self.configuration_lease.renew(began)
+                self.configuration_lease.renew(started_at)
         return result
 
     def answer_peer(self, frame: RecordFrame) -> RecordsResponse | None:
@@ -185,13 +170,13 @@
 
     def handle_peer_version(self, member: Member, version: int) -> None:
         """Fetch a newer configuration from a peer; a failed fetch is retried on later gossip."""
-        if version <= self.version or self._fetching is not None:
+        if version <= self.version or self._fetch_task is not None:
             return
-        self._fetching = self.loop.create_task(self.ask_peer(member))
-        self._fetching.add_done_callback(self._fetched)
+        self._fetch_task = self.loop.create_task(self.ask_peer(member))
+        self._fetch_task.add_done_callback(self._on_fetched)
 
-    def _fetched(self, task: 'asyncio.Task[None]') -> None:
-        self._fetching = None
+    def _on_fetched(self, task: 'asyncio.Task[None]') -> None:
+        self._fetch_task = None
 
     async def _ask_random_peer(self) -> None:
         """Ask a random peer, so that a node that cannot reach the store stays up to date."""
@@ -202,20 +187,21 @@
     async def ask_peer(self, member: Member) -> None:
         """Ask a peer for a newer configuration and for the age of its lease.
 
-        The lease is renewed as of the sending of the request less that age. The answer may have
-        been delayed on its way, but the peer's knowledge was at least that recent when it answered.
+        The lease is renewed as of the time when the request was sent, minus that age. The peer
+        answers after that time, so its confirmation is at least as recent, however late the answer
+        arrives.
         """
         if self.links is None:
             return
-        began = self.configuration_lease.clock()
-        ask = RecordsRequest(0, self.version)
-        answer = await self.links.fetch_records(member.peers, ask, PEER_TIMEOUT_SECONDS)
+        started_at = self.configuration_lease.clock()
+        request = RecordsRequest(0, self.version)
+        answer = await self.links.fetch_records(member.peers, request, PEER_TIMEOUT_SECONDS)
         if answer is None:
             return
         for entry in answer.entries:
             self._apply_from_peer(entry, member.instance)
         if max(self.version, self._rejected_version) >= answer.up_to_version:
-            self.configuration_lease.renew(began - answer.age_seconds)
+            self.configuration_lease.renew(started_at - answer.age_seconds)
 
     def _apply_listing(self, listing: Listing) -> None:
         before, now = version_to_position(self.store_version), version_to_position(listing.version)
@@ -248,7 +234,7 @@
             return self.version
         match self.decode(doc):
             case Err(why):
-                # Keep the last valid configuration: a wrong route would be worse than none.
+                # Keep the last valid configuration: wrong routes would be worse than old ones.
                 self.logger.error('configuration unusable', extra={'why': why, 'source': source})
                 return None
             case Ok(configuration):
@@ -267,9 +253,9 @@
     def _record_store_status(self, *, reachable: bool, why: str) -> None:
         if reachable is self._reachable:
             return
-        first = self._reachable is None
+        is_first_status = self._reachable is None
         self._reachable = reachable
-        if reachable and not first:
+        if reachable and not is_first_status:
             self.logger.info('store regained')
         elif not reachable:
             self.logger.warning('store lost', extra={'why': why})
--- a/dunlinsaddle/routes/lease_renewal.py
+++ b/dunlinsaddle/routes/lease_renewal.py
@@ -10,7 +10,7 @@
 from dunlinsaddle.membership.view import Member, MemberView
 from dunlinsaddle.routes.config_follower import ConfigFollower
 
-RENEWAL_INTERVAL_SECONDS = 0.25  #: between two checks whether and whom to ask
+RENEWAL_INTERVAL_SECONDS = 0.25  #: between two checks whether a renewal is due
 #: Lease age in seconds from which the first watcher of a failure domain calls the store. It bounds
 #: the calls to the store: one a second for each domain.
 STORE_POLL_AGE_SECONDS = 0.9
@@ -19,7 +19,7 @@
 WATCHER_STAGGER_SECONDS = 0.4
 #: Lease age from which a node asks its domain's first watcher, whose lease is usually younger.
 PEER_POLL_AGE_SECONDS = 0.7
-#: Lease age that is not reached while the store serves one of the domain's watchers.
+#: Lease age that is not reached while the store answers one of the domain's watchers.
 OVERDUE_AGE_SECONDS = (
     STORE_POLL_AGE_SECONDS + 2 * WATCHER_STAGGER_SECONDS + RENEWAL_INTERVAL_SECONDS
 )
@@ -30,11 +30,12 @@
 class LeaseRenewer(LoopBound):
     """Renews the configuration lease by asking the store or other nodes.
 
-    A renewal dates from the sending of its request. The watches, which wait for seconds on
-    purpose, are of no use here, and a short question goes to the store besides. Its answer is
-    passed on with its age to every node that asks. If the watchers' renewals are overdue, as the
-    store refuses just those, a node asks any other, and in turn the store: about one node of a
-    domain a round, however large it is, so that a store in trouble is not flooded.
+    A renewal is valid as of the time when its request was sent. A watch may be answered only after
+    seconds, which is too late for a renewal, so watchers also send short requests to the store.
+    They pass the renewal on, with its age, to every node that asks. If the renewals of all watchers
+    are overdue, for instance because the store refuses only them, a node asks any other node or the
+    store. In each round about one node of a failure domain asks the store, however large the domain
+    is, so that an overloaded store is not flooded.
     """
 
     def __init__(
@@ -52,7 +53,7 @@
         self.watchers = watchers
         self.instance = instance
         self.rng = rng
-        self._refused_at = -math.inf
+        self._store_failed_at = -math.inf
 
     async def run(self) -> None:
         """Renew the lease until cancelled, while the configuration requires keys."""
@@ -67,7 +68,7 @@
     async def _renew(self) -> None:
         if self._should_ask_store():
             if not await self.follower.poll_store():
-                self._refused_at = self.now()
+                self._store_failed_at = self.now()
             return
         age = self.configuration_lease.age
         if age >= OVERDUE_AGE_SECONDS:
@@ -78,15 +79,15 @@
             await self._ask(self.watchers.members()[:1])
 
     def _should_ask_store(self) -> bool:
-        if self.now() - self._refused_at < STORE_RETRY_SECONDS:
+        if self.now() - self._store_failed_at < STORE_RETRY_SECONDS:
             return False
         age = self.configuration_lease.age
         for index, member in enumerate(self.watchers.members()):
             if member.instance == self.instance:
                 return age >= STORE_POLL_AGE_SECONDS + index * WATCHER_STAGGER_SECONDS
-        return age >= OVERDUE_AGE_SECONDS and self._is_picked_to_ask_store()
+        return age >= OVERDUE_AGE_SECONDS and self._is_randomly_chosen()
 
-    def _is_picked_to_ask_store(self) -> bool:
+    def _is_randomly_chosen(self) -> bool:
         domain_size = sum(
             m.domain == self.watchers.domain and not m.is_gone for m in self.view.members()
         )
--- a/dunlinsaddle/routes/models.py
+++ b/dunlinsaddle/routes/models.py
@@ -17,7 +17,7 @@
     host: str  #: in lower case, without a port
     prefix: str  #: begins and ends with a slash
     idempotent: bool
-    timeout: float | None  #: longest time that a caller waits for an answer
+    timeout: float | None  #: maximum time that a caller waits for an answer
     latency_objective: float | None  #: an answer within this time has its full value
     max_attempts: int  #: number of targets that one request may be sent to
     priority: int  #: 0 is the highest
@@ -34,14 +34,14 @@
 
 
 class Quota(NamedTuple):
-    """How many requests of an organisation may run, summed over all instances."""
+    """How many requests an organisation may send, summed over all instances."""
 
     rate: float  #: requests a second
     burst: float  #: further requests that may arrive at once
 
 
 class Organisation(NamedTuple):
-    """An organisation that may call; its keys are held as digests only."""
+    """An organisation that may send requests; its keys are stored only as digests."""
 
     name: str
     key_digests: frozenset[bytes]
--- a/dunlinsaddle/routes/table.py
+++ b/dunlinsaddle/routes/table.py
@@ -35,7 +35,7 @@
         return self._organisations.get(name)
 
     def is_revoked(self, digest: bytes) -> bool:
-        """Return whether a key was valid in an earlier configuration that this node held."""
+        """Return whether a key was valid in an earlier configuration of this node."""
         return digest in self._revoked_keys
 
     def find_key_holder(self, digest: bytes) -> Organisation | None:
--- a/tests/fakes/deep_load.py
+++ b/tests/fakes/deep_load.py
@@ -4,15 +4,11 @@
 calling nodes and the nodes of the targets use the policies of the product. The services between
 an entry node and the deep service are modelled as a delay and are never overloaded.
 """
-
 from collections import Counter
 from collections.abc import Generator
 from dataclasses import dataclass, field
-from random import Random
-from typing import Any, NamedTuple
-
 from dunlinsaddle.policy.admission import Load, Refuse, Sample, Ticket, Wait
-from dunlinsaddle.policy.context import LOWEST_LEVEL, SLOTS_PER_RANK, Priority
+from dunlinsaddle.policy.context import LOWEST_LEVEL, Priority, SLOTS_PER_RANK
 from dunlinsaddle.policy.failure_throttle import FailureThrottle
 from dunlinsaddle.policy.level import ChainLevels, ReportedLevel
 from dunlinsaddle.policy.request_costs import RequestCosts
@@ -20,8 +16,10 @@
 from dunlinsaddle.policy.route import Candidate, Router
 from dunlinsaddle.policy.slots import SlotAdmission
 from dunlinsaddle.records.models import Rank
+from random import Random
 from tests.builders import build_ticket
 from tests.fakes.slots_load import Simulation
+from typing import Any, NamedTuple
 
 DOMAINS = ('a', 'b', 'c')
 ENTRY_NODES = 12
@@ -104,7 +102,7 @@
     """A node that accepts requests of external callers."""
 
     levels: ChainLevels
-    costs: RequestCosts
+    request_costs: RequestCosts
     failure_throttle: FailureThrottle
 
 
@@ -220,11 +218,11 @@
         entry = self.rng.choice(self.entries)
         priority = Priority(kind.rank, self.rng.randrange(SLOTS_PER_RANK))
         if self.prioritise_by_cost:
-            priority = entry.costs.adjust_priority(self.now, kind.name, priority)
+            priority = entry.request_costs.adjust_priority(self.now, kind.name, priority)
         attempt = Attempt(kind, priority.level, deadline)
         if self.early_refusal:
             failure = entry.levels.check(
-                self.now, 'deep', kind.name, attempt.level, useful_for=kind.objective
+                self.now, 'deep', kind.name, attempt.level, useful_seconds=kind.objective
             )
             if failure is not None:
                 return failure.retry_after
@@ -240,7 +238,7 @@
         if result in (True, False):
             entry.failure_throttle.record_end(self.now, kind.name, failed=result is False)
         if result is True:
-            entry.costs.record(self.now, kind.name, kind.rank, attempt.cost)
+            entry.request_costs.record(self.now, kind.name, kind.rank, attempt.cost)
         return result
 
     def _call_directly(self, attempt: Attempt, caller: CallingNode) -> Process:
--- a/tests/once_cluster.py
+++ b/tests/once_cluster.py
@@ -1,14 +1,7 @@
 """Nodes with the real idempotency router and range keeper, a shared fake store and no sockets."""
-
 import asyncio
-from collections import Counter
-from random import Random
-from types import SimpleNamespace
-from typing import Any
-
 import msgspec
-from result import Err
-
+from collections import Counter
 from dunlinsaddle.calls.call_state import PendingCall, read_call_frame
 from dunlinsaddle.calls.handover import hand_over_keys, take_over_keys
 from dunlinsaddle.calls.idempotency import IdempotencyRouter
@@ -22,8 +15,12 @@
 from dunlinsaddle.policy.route import Router
 from dunlinsaddle.settings import Address
 from dunlinsaddle.stats import Stats
+from random import Random
+from result import Err
 from tests.builders import build_member, build_release_call
 from tests.fakes.store import FakeStore
+from types import SimpleNamespace
+from typing import Any
 
 SERVICE = 'cut-orders'
 EPOCH_MS = 1_750_000_000_000
@@ -60,8 +57,8 @@
         wall = EPOCH_MS / 1000 + self.loop.time() + clock_skew
         clock = MonotonicWallClock(lambda: wall)
         rng = Random(sum(name.encode()))
-        self.keeper = RangeManager(cluster.store, Owner(name, epoch), clock.now, rng)
-        self.keeper.listener = ListenerIdentity(
+        self.range_manager = RangeManager(cluster.store, Owner(name, epoch), clock.now, rng)
+        self.range_manager.listener = ListenerIdentity(
             f'{name} at {cluster.move_counts[name]}', clock.loop_epoch()
         )
         self.view = MemberView()
@@ -75,7 +72,7 @@
         self.links = links
         executor: Any = SimpleNamespace(execute=self.execute)
         self.router = IdempotencyRouter(
-            self.keeper,
+            self.range_manager,
             self.view,
             Router('bangor-hall', rng),
             links,
@@ -111,9 +108,9 @@
         """Drain: close the ranges, accept no more keys, hand them over and leave."""
         self.leaving = True
         await self.tick()
-        self.keeper.close()
+        self.range_manager.close()
         await self.router.wait_idle()
-        await hand_over_keys(self.router.tables, self.keeper, self.view, self.links)
+        await hand_over_keys(self.router.tables, self.range_manager, self.view, self.links)
         for node in self.cluster.nodes.values():
             node.view.merge(self.cluster.current_member(self.name)._replace(state=State.LEFT))
 
@@ -137,7 +134,7 @@
 
     async def tick(self) -> None:
         serving = [m.instance for m in self.view.serving_members(SERVICE)]
-        await self.keeper.tick(SERVICE, serving, leaving=self.leaving)
+        await self.range_manager.tick(SERVICE, serving, leaving=self.leaving)
 
     async def send(self, key: str, **changes: Any) -> Reply:
         """Send a call to this node, and check the reply against the runs at the targets."""
@@ -213,7 +210,7 @@
     async def refresh(self) -> None:
         """Let all nodes read the map of owners."""
         for node in self.nodes.values():
-            await node.keeper.refresh(SERVICE)
+            await node.range_manager.refresh(SERVICE)
 
     def generate_key(self, skew_ms: int = 0) -> str:
         now = EPOCH_MS + int(asyncio.get_running_loop().time() * 1000)
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -1,6 +1,5 @@
-import asyncio
-from random import Random
 
+import asyncio
 from dunlinsaddle.calls.call_state import PendingCall, RunningCalls
 from dunlinsaddle.calls.client import HttpClient
 from dunlinsaddle.calls.connection import Answered
@@ -17,6 +16,7 @@
 from dunlinsaddle.policy.route import Router
 from dunlinsaddle.settings import Address
 from dunlinsaddle.stats import Stats
+from random import Random
 from tests.builders import build_member, build_pending_call
 from tests.clock import PausedClockTest
 
@@ -196,15 +196,15 @@
         # Each target that runs the call crashes. After the second crash the call must not be
         # resent, although retry tokens and targets are left.
         first = refusal(Failure(ErrorKind.TARGET_LOST))
-        first.deaths = 1
+        first.crash_count = 1
         second = refusal(Failure(ErrorKind.TARGET_LOST))
-        second.deaths = 2
+        second.crash_count = 2
         quarantine = Quarantine()
         links = FakeLinks(first, second, DONE)
         reply = self.dispatch(links, quarantine, tokens=5)
         self.assertEqual(Outcome.UNKNOWN, reply.outcome)
         self.assertEqual(2, len(links.calls))
-        self.assertEqual(1, links.calls[1].deaths)
+        self.assertEqual(1, links.calls[1].crash_count)
         self.assertIsInstance(quarantine.check(0.1, links.calls[0].fingerprint), Quarantined)
 
 
@@ -219,11 +219,11 @@
         reported: list[tuple[int, int]] = []
 
         def build() -> Executor:
-            on_target_crash = lambda fingerprint, deaths: reported.append((fingerprint, deaths))  # noqa: E731
+            on_target_crash = lambda request, count: reported.append((request, count))  # noqa: E731
             return build_executor(CrashingTarget(), Quarantine(), on_target_crash=on_target_crash)
 
         reply = self.execute(build, fingerprint=5)
-        self.assertEqual((1, Outcome.UNKNOWN), (reply.deaths, reply.outcome))
+        self.assertEqual((1, Outcome.UNKNOWN), (reply.crash_count, reply.outcome))
         self.assertEqual([(5, 1)], reported)
 
     def test_reply_has_retry_after_when_a_downstream_call_was_refused(self):
@@ -242,7 +242,7 @@
             self.assertEqual((502, seconds), (reply.status, reply.retry_after))
 
     def test_barred_request_is_refused_without_retry_after(self):
-        reply = self.execute(lambda: build_executor(FakeTarget(), Quarantine()), deaths=2)
+        reply = self.execute(lambda: build_executor(FakeTarget(), Quarantine()), crash_count=2)
         self.assertEqual(ErrorKind.QUARANTINED.value, reply.kind)
         self.assertEqual(0, reply.retry_after)
 
@@ -254,7 +254,7 @@
                 SlowTarget(), Quarantine(), is_observe_only=lambda service: True
             )
             works = [
-                build_pending_call(fingerprint=n, deaths=d) for n, d in ((1, 2), (2, 1), (3, 1))
+                build_pending_call(fingerprint=n, crash_count=d) for n, d in ((1, 2), (2, 1), (3, 1))
             ]
             replies = await asyncio.gather(*map(executor.execute, works))
             refused = executor.stats.observed_refusals[ErrorKind.QUARANTINED.value]
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -1,14 +1,13 @@
+
 import asyncio
 import itertools
-from collections import Counter
-
 import msgspec
-from result import Err
-
+from collections import Counter
 from dunlinsaddle.calls.http import HttpRequest
 from dunlinsaddle.platform.store import Unavailable
 from dunlinsaddle.records.history import RECORD_KIND, entries_after
 from dunlinsaddle.settings import Address
+from result import Err
 from tests.builders import OPERATOR_TOKEN, build_document
 from tests.clock import PausedClockTest
 from tests.fakes.site import Site, Target, seconds_until
@@ -94,7 +93,7 @@
             await asyncio.sleep(20)
             site.store.down = False
             cut_off = site.nodes['bangor-1']
-            cut_off.sync.store = cut_off.keeper.store = down = FakeStore()
+            cut_off.sync.store = cut_off.range_manager.store = down = FakeStore()
             down.down = True
             version = await site.write_record(deadline=3.0)
             await asyncio.sleep(5)
--- a/tests/test_once.py
+++ b/tests/test_once.py
@@ -72,12 +72,12 @@
             await owner.send(key, fingerprint=8)
             counts = {'accepted': 1, 'repeated': 2, 'key-reused': 1}
             self.assertEqual(counts, dict(owner.router.owned_keys.stats.keys))
-            holdings = [n.keeper.owned_ranges(SERVICE) for n in cluster.nodes.values()]
+            holdings = [n.range_manager.owned_ranges(SERVICE) for n in cluster.nodes.values()]
             self.assertEqual(64, sum(owned_ranges.ranges for owned_ranges in holdings))
             await asyncio.sleep(30)
-            owned_ranges = owner.keeper.owned_ranges(SERVICE)
+            owned_ranges = owner.range_manager.owned_ranges(SERVICE)
             self.assertGreater(owned_ranges.platform_age, 30)
-            self.assertLess(owned_ranges.until - owner.keeper.clock(), 270_000)
+            self.assertLess(owned_ranges.until - owner.range_manager.clock(), 270_000)
 
         self.run_cluster(scenario)
 
@@ -167,7 +167,7 @@
         # keys. When it resumes, it must not run the calls that it has already read.
         async def scenario(cluster: Cluster) -> None:
             key = cluster.generate_key_owned_by('bangor-1')
-            cluster.nodes['bangor-1'].keeper.close()
+            cluster.nodes['bangor-1'].range_manager.close()
             await cluster.nodes['bangor-1'].send(key)
             self.assertEqual(0, cluster.runs[key])
 
@@ -233,7 +233,7 @@
             await cluster.store.apply_delayed_write()
             for key in keys_during_handover:
                 for node in cluster.nodes.values():
-                    await node.keeper.refresh(SERVICE)
+                    await node.range_manager.refresh(SERVICE)
                     await node.send(key)
             self.assertEqual({1}, {cluster.runs[key] for key in keys_during_handover})
 
@@ -244,9 +244,9 @@
             cluster.store.lose_answers = 1
             await asyncio.sleep(100)
             await cluster.nodes['bangor-1'].tick()
-            writes = cluster.nodes['bangor-1'].keeper.writes
+            writes = cluster.nodes['bangor-1'].range_manager.writes
             await cluster.nodes['bangor-1'].tick()
-            self.assertEqual(writes, cluster.nodes['bangor-1'].keeper.writes)
+            self.assertEqual(writes, cluster.nodes['bangor-1'].range_manager.writes)
             await cluster.nodes['menai-1'].send(cluster.generate_key_owned_by('bangor-1'))
 
         self.run_cluster(scenario)
