--- a/dunlinsaddle/access/authentication.py
+++ b/dunlinsaddle/access/authentication.py
@@ -41,7 +41,7 @@
         self.configuration_lease = configuration_lease
 
     async def wait_for_key_status(self, caller_headers: CallerHeaders) -> bool:
-        """Wait for a configuration that may contain an unknown key; return whether that is known.
+        """Wait until it is known whether a key is valid, and return whether it is known.
 
         Failure: a key was just added, and a node without the new configuration answers 401, which
         callers treat as final. A 401 therefore requires a lease renewal that confirms a moment
@@ -96,7 +96,11 @@
             return Err(Failure(ErrorKind.PARENT_UNKNOWN, '', UNKNOWN_PARENT_RETRY_AFTER_SECONDS))
         if caller_headers.key_digest and self.configuration_lease.expired:
             return Err(
-                Failure(ErrorKind.STALE_CONFIGURATION, 'no proof', STALE_RETRY_AFTER_SECONDS)
+                Failure(
+                    ErrorKind.STALE_CONFIGURATION,
+                    'the configuration lease has expired',
+                    STALE_RETRY_AFTER_SECONDS,
+                )
             )
         holder = table.find_key_holder(caller_headers.key_digest)
         if holder is not None:
--- a/dunlinsaddle/access/configuration_lease.py
+++ b/dunlinsaddle/access/configuration_lease.py
@@ -31,7 +31,7 @@
 
     @property
     def age(self) -> float:
-        """Return the seconds since the last confirmed time; infinite before the first."""
+        """Seconds since the last confirmed time; infinite before the first."""
         return self.clock() - self.confirmed_at
 
     @property
--- a/dunlinsaddle/access/lender_client.py
+++ b/dunlinsaddle/access/lender_client.py
@@ -13,7 +13,7 @@
 #: Seconds after which a request is sent once more: datagrams get lost, and an answer takes some
 #: milliseconds.
 RESEND_SECONDS = 0.06
-#: Seconds after the latest request for which a lender's silence is meaningful.
+#: Seconds after the latest request during which a missing response shows that a lender is silent.
 SILENCE_VALID_SECONDS = 1.0
 PROBE_INTERVAL_SECONDS = 0.25  #: between two probes of a silent lender
 PROBE_TIMEOUT_SECONDS = 0.25
@@ -38,7 +38,8 @@
     def __init__(self, peers: QuotaPeers) -> None:
         self.peers = peers
         self.queries_sent = 0
-        #: Starts at random, so that a restarted node does not reuse the number of an old request.
+        #: Starts at a random number, so that a restarted node does not reuse the id of an old
+        #: request.
         self._last_correlation_id = secrets.randbits(48)
         self._pending: dict[int, asyncio.Future[QuotaResponse | None]] = {}
         self._requested_at: dict[str, float] = {}
--- a/dunlinsaddle/access/peers.py
+++ b/dunlinsaddle/access/peers.py
@@ -27,8 +27,8 @@
     def live_nodes(self) -> tuple[list[str], float]:
         """Return the nodes that are not gone, and the share of all nodes surely reachable."""
         live = [m for m in self.view.members() if not m.is_gone]
-        # Suspicions count at once. When a fleet is partitioned, half of it is suspected long
-        # before it is declared dead, and until then both sides lend.
+        # Suspected nodes count as unreachable immediately. When a fleet is partitioned, half of it
+        # is suspected long before it is declared dead, and until then both sides lend.
         suspected = sum(m.state is State.SUSPECT for m in live)
         missing = max(self._count_recently_dead(), self.count_unreached())
         share = (len(live) - suspected) / max(len(live) + missing, 1)
--- a/dunlinsaddle/access/quotas.py
+++ b/dunlinsaddle/access/quotas.py
@@ -26,8 +26,8 @@
 RELAY_TIMEOUT_SECONDS = 0.25
 #: Seconds to wait for the answer of a substitute, which asks the lender before it first.
 SUBSTITUTE_TIMEOUT_SECONDS = 0.4
-#: Seconds of silence after which a substitute lends by itself: twice the time of an answer on a
-#: slow network. Two nodes that lend at the same time might lend twice the quota.
+#: Seconds of silence after which a substitute lends in place of a lender: twice the time of an
+#: answer on a slow network. Two nodes that lend at the same time might lend twice the quota.
 TAKEOVER_SILENCE_SECONDS = 0.6
 STARTUP_SECONDS = 5.0  #: for which a node counts as just started
 #: Seconds for which the membership view of a node that has just started must not change before
@@ -105,7 +105,7 @@
             result = await self._ask_lenders(organisation.name, until)
             if result is not None:
                 return result
-            # After a restart of all nodes, none lends until it has met the others.
+            # After a restart of all nodes, no node lends until it knows the others.
             await asyncio.sleep(RETRY_INTERVAL_SECONDS)
         return Err(
             Failure(ErrorKind.QUOTA_UNKNOWN, 'no lender answers', NO_LENDER_RETRY_AFTER_SECONDS)
@@ -126,7 +126,9 @@
                 case Granted():
                     return Ok(QuotaLease(name, lender))
                 case RetryLater(seconds):
-                    return Err(Failure(ErrorKind.OVER_QUOTA, f'told by {lender}', seconds))
+                    return Err(
+                        Failure(ErrorKind.OVER_QUOTA, f'refused by lender {lender}', seconds)
+                    )
         return None
 
     def refund(self, lease: QuotaLease) -> None:
@@ -206,8 +208,8 @@
             return None
         if configured.quota is None:
             return Granted()
-        # A node that has just started lends only a part, as a substitute does: others that have
-        # just started may take themselves for the first lender, too.
+        # A node that has just started lends only a part, as a substitute does: other nodes that
+        # have just started may consider themselves the first lender, too.
         is_first = lenders[0] == self.instance and not is_starting
         return self.ledger.take(
             self.now(), organisation, configured.quota, is_first_lender=is_first
@@ -226,7 +228,7 @@
     def _is_starting(self) -> bool:
         """Return whether this node has just started and its membership view still changes.
 
-        Such a node may take itself for a lender only because it has not met the others.
+        Such a node may consider itself a lender only because it does not know the others yet.
         """
         now = self.now()
         return (
@@ -235,7 +237,7 @@
         )
 
     def _knows_too_few_nodes(self) -> bool:
-        """Return whether this node knows so few others that many like it might lend at once.
+        """Return whether this node knows so few others that many such nodes might lend at once.
 
         Failure: all nodes restart at the same time, and each believes for a moment that it is
         alone.
--- a/dunlinsaddle/calls/client.py
+++ b/dunlinsaddle/calls/client.py
@@ -36,7 +36,7 @@
 
 
 class HttpClient(LoopBound):
-    """Sends requests, each on a connection of its own, and keeps intact connections for reuse.
+    """Sends requests, one at a time per connection, and keeps intact connections for reuse.
 
     ``allow_close_delimited`` accepts responses whose body ends with the connection, for servers
     that guarantee to reset the connection of an incomplete response.
--- a/dunlinsaddle/calls/connection.py
+++ b/dunlinsaddle/calls/connection.py
@@ -32,7 +32,7 @@
 
 
 def match_any_response(headers: Headers) -> bool:
-    """Accept every response as the one to the request."""
+    """Accept every response."""
     return True
 
 
@@ -72,7 +72,7 @@
     def data_received(self, data: bytes) -> None:
         """Parse the response; data without a pending request aborts the connection."""
         if self.result_future is None:
-            # The next request would take unsolicited data for its response.
+            # Unsolicited data would be mistaken for the response to the next request.
             self.transport.abort()
             return
         self.received_data = True
--- a/dunlinsaddle/calls/crash_notifier.py
+++ b/dunlinsaddle/calls/crash_notifier.py
@@ -14,7 +14,7 @@
 class CrashNotifier(LoopBound):
     """Reports requests that crashed the local target to other nodes, and receives their reports.
 
-    The caller of a request that crashed a target may retry it at once through any node. Only
+    The caller of a request that crashed a target may immediately retry it through any node. Only
     the nodes beside the other targets can prevent it from crashing these too.
     """
 
--- a/dunlinsaddle/calls/dispatch.py
+++ b/dunlinsaddle/calls/dispatch.py
@@ -22,8 +22,8 @@
 if TYPE_CHECKING:
     from dunlinsaddle.calls.idempotency import IdempotencyRouter
 
-#: Time before its deadline that a call must have left to be resent. With less it is unlikely to be
-#: answered in time, and a call that is known not to have run would be started in vain.
+#: Minimum time until the deadline for a resend. With less, an answer in time is unlikely, and a
+#: call that provably has not run would be started in vain.
 MIN_RESEND_SECONDS = 0.05
 NO_TARGET_RETRY_AFTER_SECONDS = 1.0  #: a target that has returned is announced by then
 #: Cause that is reported for a request refused because other requests of its rule fail.
--- a/dunlinsaddle/calls/execute.py
+++ b/dunlinsaddle/calls/execute.py
@@ -102,9 +102,9 @@
         return await self._admit_and_run(call)
 
     async def _run_alone(self, call: PendingCall) -> Reply:
-        """Run a suspected request with no other suspect beside it.
+        """Run a suspected request while no other suspected request runs.
 
-        If the target crashes again, the request that caused it is known.
+        If the target crashes again, this request caused it.
         """
         time_left = call.ctx.deadline - self.now()
         try:
--- a/dunlinsaddle/calls/handlers.py
+++ b/dunlinsaddle/calls/handlers.py
@@ -193,8 +193,8 @@
     """Return the failure for a service that has no record at this node.
 
     A node that has just started may not have received the record yet. A request with an
-    idempotency key may be a resend of one that ran, so its failure must not claim that it did
-    not run.
+    idempotency key may be a resend of a request that ran, so its failure must not claim that it
+    did not run.
     """
     if req.header(b'idempotency-key'):
         detail = f'this node has no record of service {service}'
--- a/dunlinsaddle/calls/idempotency.py
+++ b/dunlinsaddle/calls/idempotency.py
@@ -32,7 +32,7 @@
 from dunlinsaddle.policy.route import Router
 from dunlinsaddle.stats import Stats
 
-MAX_OWNER_HOPS = 2  #: the entry node asks one node, and that one may know a newer owner
+MAX_OWNER_HOPS = 2  #: the entry node asks a node, which may know a newer owner
 UNREACHABLE_KINDS = frozenset(
     {ErrorKind.OWNER_UNAVAILABLE.value, ErrorKind.OWNER_UNREACHABLE.value}
 )
--- a/dunlinsaddle/policy/concurrency_limit.py
+++ b/dunlinsaddle/policy/concurrency_limit.py
@@ -101,7 +101,7 @@
         self._inflation = 1.0
         self._slow_start = True
         self._limit_before_restart = 0.0  #: 0 once the limit has reached it again
-        self._proven_limit = 0.0  #: the most calls that ran at once without inflation
+        self._proven_limit = 0.0  #: highest number of concurrent calls without inflation
         self._trial: _Trial | None = None
         self._next_probe_at = FIRST_PROBE_SECONDS
         self._probe_interval = PROBE_INTERVAL_SECONDS
--- a/dunlinsaddle/policy/key_table.py
+++ b/dunlinsaddle/policy/key_table.py
@@ -90,7 +90,7 @@
         return len(self._entries)
 
     def lookup(self, key: str, fingerprint: int) -> StoredAnswer[Answer] | KeyRefused | None:
-        """Return the result for a key in the table, or None for one that is not in it."""
+        """Return the result for a key, or None if the key is not in the table."""
         entry = self._entries.get(key)
         if entry is None:
             return None
--- a/dunlinsaddle/policy/level.py
+++ b/dunlinsaddle/policy/level.py
@@ -147,8 +147,8 @@
 
         Requests refused upstream do not arrive here. The hash spreads the demand of a rank evenly
         over its levels, so the steady levels show the demand of the others, without a memory that
-        would be slow to forget a surge. A rank that is closed as a whole has no steady levels; its
-        last known demand is used, decaying over ``CLOSED_DEMAND_DECAY_SECONDS``.
+        would be slow to forget a surge. A rank without open levels has no steady ones; its last
+        known demand is used, decaying over ``CLOSED_DEMAND_DECAY_SECONDS``.
         """
         end = int(self.level) + 1
         steady = int(min(self._recent_minimum.update(self._updated_at, self.level), self.level)) + 1
--- a/dunlinsaddle/policy/ownership.py
+++ b/dunlinsaddle/policy/ownership.py
@@ -86,7 +86,7 @@
         return any(i.owner == owner for row in self.ranges for i in row)
 
     def later_intervals(self, number: int, birth: int) -> tuple[Interval, ...]:
-        """Return the intervals of a range that follow the one that contains a creation time."""
+        """Return the intervals of a range after the interval that contains a creation time."""
         return tuple(i for i in self.ranges[number] if i.start > birth)
 
     def is_pruned(self, number: int, birth: int) -> bool:
