--- a/dunlinsaddle/mesh/ingress.py
+++ b/dunlinsaddle/mesh/ingress.py
@@ -1,22 +1,32 @@
 """Handler for requests of callers and for the local target's own calls to other services."""
+
 import asyncio
 import math
-import uuid6
 from collections.abc import Callable
+from random import Random
+
+import uuid6
+from result import Err, Ok
+
 from dunlinsaddle.access.authentication import Authenticator, CallerOrganisation, effective_rank
 from dunlinsaddle.access.quotas import QuotaCoordinator
 from dunlinsaddle.calls.call_state import PendingCall, RunningCall, RunningCalls, WaitTime
 from dunlinsaddle.calls.decisions import DecisionLog
 from dunlinsaddle.calls.dispatch import Dispatcher
 from dunlinsaddle.calls.handlers import request_fingerprint
-from dunlinsaddle.calls.http import HttpRequest, HttpResponse, MIN_SERVER_ERROR_STATUS
+from dunlinsaddle.calls.http import MIN_SERVER_ERROR_STATUS, HttpRequest, HttpResponse
 from dunlinsaddle.calls.messages import Reply, refusal
 from dunlinsaddle.errors import ErrorKind, Failure, Outcome
 from dunlinsaddle.loops import LoopBound
 from dunlinsaddle.mesh.retries import AttemptAllowance
-from dunlinsaddle.platform.requests import CallerHeaders, build_caller_response, build_forwarded_headers, read_caller_headers
+from dunlinsaddle.platform.requests import (
+    CallerHeaders,
+    build_caller_response,
+    build_forwarded_headers,
+    read_caller_headers,
+)
 from dunlinsaddle.policy.admission import Load
-from dunlinsaddle.policy.context import CallContext, MAX_HOPS, priority_of
+from dunlinsaddle.policy.context import MAX_HOPS, CallContext, priority_of
 from dunlinsaddle.policy.failure_throttle import FailureThrottle
 from dunlinsaddle.policy.request_costs import RequestCosts
 from dunlinsaddle.policy.retry_budget import RetryBudget
@@ -24,8 +34,6 @@
 from dunlinsaddle.routes.config_follower import ConfigFollower
 from dunlinsaddle.routes.models import Route
 from dunlinsaddle.routes.table import choose_service
-from random import Random
-from result import Err, Ok
 
 DEFAULT_TIMEOUT_SECONDS = 10.0  #: for requests without a deadline header
 #: Shortest Retry-After of a request that failed because of a call of its target. It is the latency
--- a/dunlinsaddle/mesh/node.py
+++ b/dunlinsaddle/mesh/node.py
@@ -1,8 +1,13 @@
 """A node on the users' platform: creates its components, connects them and runs their tasks."""
+
 import asyncio
 import contextlib
 import logging
 from collections.abc import Callable, Coroutine
+from functools import partial
+from random import Random
+from typing import TYPE_CHECKING, Any, NamedTuple
+
 from dunlinsaddle.access.authentication import Authenticator
 from dunlinsaddle.access.configuration_lease import ConfigurationLease
 from dunlinsaddle.access.peers import GossipPeers
@@ -48,9 +53,6 @@
 from dunlinsaddle.routes.models import Configuration
 from dunlinsaddle.settings import Address
 from dunlinsaddle.stats import CallLabel, Hop, Stats
-from functools import partial
-from random import Random
-from typing import Any, NamedTuple, TYPE_CHECKING
 
 if TYPE_CHECKING:
     from dunlinsaddle.mesh.metrics import MeshMetrics
--- a/dunlinsaddle/node.py
+++ b/dunlinsaddle/node.py
@@ -1,8 +1,13 @@
 """Builds the parts of one node, connects them and runs their background tasks."""
+
 import asyncio
 import contextlib
 import logging
 import secrets
+from functools import partial
+from random import Random
+from typing import Any
+
 from dunlinsaddle.admin import OperatorHandler
 from dunlinsaddle.calls.call_state import RunningCalls, read_call_frame, record_added_latency
 from dunlinsaddle.calls.client import HttpClient
@@ -28,7 +33,13 @@
 from dunlinsaddle.membership.liveness import TargetMonitor
 from dunlinsaddle.membership.roster import Bootstrap, RosterStore
 from dunlinsaddle.membership.view import Member, MemberView, State
-from dunlinsaddle.metrics import LabeledValues, Metrics, observe_keys, observe_records, observe_stats
+from dunlinsaddle.metrics import (
+    LabeledValues,
+    Metrics,
+    observe_keys,
+    observe_records,
+    observe_stats,
+)
 from dunlinsaddle.platform.client import HttpObjectStore
 from dunlinsaddle.platform.store import ObjectStore
 from dunlinsaddle.policy.admission import Admission
@@ -41,9 +52,6 @@
 from dunlinsaddle.records.sync import RecordSync
 from dunlinsaddle.settings import Settings
 from dunlinsaddle.stats import Stats
-from functools import partial
-from random import Random
-from typing import Any
 
 #: How long idempotency keys are remembered if no record of the service sets it.
 DEFAULT_KEY_WINDOW_SECONDS = 900.0
--- a/dunlinsaddle/replay/current_node.py
+++ b/dunlinsaddle/replay/current_node.py
@@ -1,4 +1,5 @@
 """The simulated node that uses the product's policy."""
+
 from dunlinsaddle.errors import ErrorKind, Failure
 from dunlinsaddle.policy.admission import AdmissionPolicy, Load
 from dunlinsaddle.policy.level import ChainLevels
@@ -6,10 +7,16 @@
 from dunlinsaddle.policy.resend_guard import ResendGuard
 from dunlinsaddle.policy.retry import RetryAllowance, may_resend
 from dunlinsaddle.policy.route import Candidate, Router
-from dunlinsaddle.replay.attempt import Attempt, CallOrigin, EXTERNAL_ORIGIN, Response, failure_response
+from dunlinsaddle.replay.attempt import (
+    EXTERNAL_ORIGIN,
+    Attempt,
+    CallOrigin,
+    Response,
+    failure_response,
+)
 from dunlinsaddle.replay.events import Process
 from dunlinsaddle.replay.fakes import FakeTarget
-from dunlinsaddle.replay.nodes import FakeNode, Fleet, VIEW_DELAY_SECONDS
+from dunlinsaddle.replay.nodes import VIEW_DELAY_SECONDS, FakeNode, Fleet
 from dunlinsaddle.replay.trace import Call
 
 
--- a/dunlinsaddle/routes/config_follower.py
+++ b/dunlinsaddle/routes/config_follower.py
@@ -3,22 +3,37 @@
 A few nodes of each failure domain watch the store. Every gossip message carries the configuration
 version of its sender, and a node that receives a newer version fetches it from that sender.
 """
+
 import asyncio
 import logging
 import math
 from collections.abc import Callable
+from random import Random
+from typing import Any
+
+from result import Err, Ok, Result
+
 from dunlinsaddle.access.configuration_lease import ConfigurationLease
 from dunlinsaddle.calls.link import PeerLinks
-from dunlinsaddle.calls.messages import MAX_TIMEOUT_SECONDS, RecordFrame, RecordsRequest, RecordsResponse
+from dunlinsaddle.calls.messages import (
+    MAX_TIMEOUT_SECONDS,
+    RecordFrame,
+    RecordsRequest,
+    RecordsResponse,
+)
 from dunlinsaddle.loops import Backoff, LoopBound
 from dunlinsaddle.membership.view import Member
-from dunlinsaddle.platform.store import JsonValue, Listing, ObjectStore, StoredObject, Unavailable, version_to_position
+from dunlinsaddle.platform.store import (
+    JsonValue,
+    Listing,
+    ObjectStore,
+    StoredObject,
+    Unavailable,
+    version_to_position,
+)
 from dunlinsaddle.records.models import RecordEntry
 from dunlinsaddle.routes.models import Configuration, Organisation
 from dunlinsaddle.routes.table import RouteTable
-from random import Random
-from result import Err, Ok, Result
-from typing import Any
 
 #: Duration of one watch. It bounds how long a change is missed if the answer to a watch is lost on
 #: an open connection, which cannot be detected otherwise. Shorter watches cost more calls: three
--- a/tests/fakes/deep_load.py
+++ b/tests/fakes/deep_load.py
@@ -4,11 +4,15 @@
 calling nodes and the nodes of the targets use the policies of the product. The services between
 an entry node and the deep service are modelled as a delay and are never overloaded.
 """
+
 from collections import Counter
 from collections.abc import Generator
 from dataclasses import dataclass, field
+from random import Random
+from typing import Any, NamedTuple
+
 from dunlinsaddle.policy.admission import Load, Refuse, Sample, Ticket, Wait
-from dunlinsaddle.policy.context import LOWEST_LEVEL, Priority, SLOTS_PER_RANK
+from dunlinsaddle.policy.context import LOWEST_LEVEL, SLOTS_PER_RANK, Priority
 from dunlinsaddle.policy.failure_throttle import FailureThrottle
 from dunlinsaddle.policy.level import ChainLevels, ReportedLevel
 from dunlinsaddle.policy.request_costs import RequestCosts
@@ -16,10 +20,8 @@
 from dunlinsaddle.policy.route import Candidate, Router
 from dunlinsaddle.policy.slots import SlotAdmission
 from dunlinsaddle.records.models import Rank
-from random import Random
 from tests.builders import build_ticket
 from tests.fakes.slots_load import Simulation
-from typing import Any, NamedTuple
 
 DOMAINS = ('a', 'b', 'c')
 ENTRY_NODES = 12
--- a/tests/once_cluster.py
+++ b/tests/once_cluster.py
@@ -1,7 +1,14 @@
 """Nodes with the real idempotency router and range keeper, a shared fake store and no sockets."""
+
 import asyncio
-import msgspec
 from collections import Counter
+from random import Random
+from types import SimpleNamespace
+from typing import Any
+
+import msgspec
+from result import Err
+
 from dunlinsaddle.calls.call_state import PendingCall, read_call_frame
 from dunlinsaddle.calls.handover import hand_over_keys, take_over_keys
 from dunlinsaddle.calls.idempotency import IdempotencyRouter
@@ -15,12 +22,8 @@
 from dunlinsaddle.policy.route import Router
 from dunlinsaddle.settings import Address
 from dunlinsaddle.stats import Stats
-from random import Random
-from result import Err
 from tests.builders import build_member, build_release_call
 from tests.fakes.store import FakeStore
-from types import SimpleNamespace
-from typing import Any
 
 SERVICE = 'cut-orders'
 EPOCH_MS = 1_750_000_000_000
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -1,5 +1,6 @@
-
 import asyncio
+from random import Random
+
 from dunlinsaddle.calls.call_state import PendingCall, RunningCalls
 from dunlinsaddle.calls.client import HttpClient
 from dunlinsaddle.calls.connection import Answered
@@ -16,7 +17,6 @@
 from dunlinsaddle.policy.route import Router
 from dunlinsaddle.settings import Address
 from dunlinsaddle.stats import Stats
-from random import Random
 from tests.builders import build_member, build_pending_call
 from tests.clock import PausedClockTest
 
@@ -254,7 +254,8 @@
                 SlowTarget(), Quarantine(), is_observe_only=lambda service: True
             )
             works = [
-                build_pending_call(fingerprint=n, crash_count=d) for n, d in ((1, 2), (2, 1), (3, 1))
+                build_pending_call(fingerprint=n, crash_count=d)
+                for n, d in ((1, 2), (2, 1), (3, 1))
             ]
             replies = await asyncio.gather(*map(executor.execute, works))
             refused = executor.stats.observed_refusals[ErrorKind.QUARANTINED.value]
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -1,13 +1,14 @@
-
 import asyncio
 import itertools
-import msgspec
 from collections import Counter
+
+import msgspec
+from result import Err
+
 from dunlinsaddle.calls.http import HttpRequest
 from dunlinsaddle.platform.store import Unavailable
 from dunlinsaddle.records.history import RECORD_KIND, entries_after
 from dunlinsaddle.settings import Address
-from result import Err
 from tests.builders import OPERATOR_TOKEN, build_document
 from tests.clock import PausedClockTest
 from tests.fakes.site import Site, Target, seconds_until
