--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins for what surrounds a node: the platform, a target, a caller."""
+"""Stand-ins for the surroundings of a node: the platform, targets and callers."""
--- a/standins/caller.py
+++ b/standins/caller.py
@@ -1,4 +1,4 @@
-"""A caller: sends calls to a node and counts what came back."""
+"""A caller that sends requests to nodes and counts the responses."""
 
 import asyncio
 from collections import Counter
@@ -12,11 +12,11 @@
 from dunlinsaddle.calls.messages import Headers
 from dunlinsaddle.settings import Address
 
-REFUSAL_PAUSE_SECONDS = 0.1  #: seconds; an impatient caller, who does not heed Retry-After
+REFUSAL_PAUSE_SECONDS = 0.1  #: the caller ignores Retry-After
 
 
 class CallCounts(NamedTuple):
-    """What a batch of calls came to."""
+    """Number of calls by status and outcome, and by the target that answered."""
 
     statuses: Counter[str]
     targets: Counter[str]
@@ -37,7 +37,7 @@
         body: bytes = b'',
         timeout: float = 10.0,
     ) -> HttpResponse | None:
-        """Send one request; None where no whole answer came."""
+        """Send one request; return None if there is no complete response."""
         req = HttpRequest(method, path, headers or [], body, '')
         exchange = await self.client.send(node, req, timeout)
         return exchange.response if isinstance(exchange, Answered) else None
@@ -45,7 +45,7 @@
     async def send_for(
         self, nodes: list[Address], method: str, path: str, seconds: float, concurrency: int
     ) -> CallCounts:
-        """Send calls for a while, ``concurrency`` at a time; each worker pauses after a refusal."""
+        """Send calls for ``seconds``, ``concurrency`` at once; workers pause after a refusal."""
         counts = CallCounts(Counter(), Counter())
         loop = asyncio.get_running_loop()
         end = loop.time() + seconds
@@ -62,7 +62,7 @@
         return counts
 
     def close(self) -> None:
-        """Drop all connections."""
+        """Close all connections."""
         self.client.close()
 
 
--- a/standins/demo.py
+++ b/standins/demo.py
@@ -1,4 +1,4 @@
-"""``make demo``: a two-hop chain in three failure domains, as separate processes."""
+"""``make demo``: a call chain of two services in three failure domains, as processes."""
 
 import asyncio
 import io
@@ -21,7 +21,7 @@
 CONCURRENCY = 10
 SURGE_CONCURRENCY = 150
 
-# Slots are a tenth of Llechfaen's, so that one machine can push the chain past capacity.
+# A tenth of the slots at Llechfaen, so that one machine can overload the chain.
 TARGETS = {
     'bangor-1': TargetSpec('cut-orders', 'bangor-hall', 14, 0.01, ('/slab-stock/slabs/1',)),
     'caernarfon-1': TargetSpec('cut-orders', 'caernarfon-hall', 14, 0.01, ('/slab-stock/slabs/1',)),
@@ -30,13 +30,13 @@
 
 
 def print_line(text: str) -> None:
-    """Tell the person who runs the demo."""
+    """Print a line and flush it."""
     sys.stdout.write(f'{text}\n')
     sys.stdout.flush()
 
 
 def run_operator_command(operators: str, *argv: str) -> str:
-    """Run the command-line tool in this process; gives what it wrote."""
+    """Run the command-line tool in this process; return its output."""
     out = io.StringIO()
     environ = {
         'DUNLINSADDLE_NODE': operators,
@@ -51,7 +51,7 @@
 
 
 async def wait_until_served(nodes: list[Address], path: str) -> None:
-    """Wait until every node answers calls for a path."""
+    """Wait until every node has served a path, or for the timeout."""
     caller = Caller()
     loop = asyncio.get_running_loop()
     deadline = loop.time() + SERVED_TIMEOUT_SECONDS
@@ -65,7 +65,7 @@
 
 
 async def send_load(nodes: list[Address], path: str, concurrency: int) -> CallCounts:
-    """Send calls for a few seconds, so many at once, and releases of orders among them."""
+    """Send concurrent reads for a few seconds, and releases of orders meanwhile."""
     caller = Caller()
     counts, released = await asyncio.gather(
         caller.send_for(nodes, 'GET', path, LOAD_SECONDS, concurrency),
@@ -77,7 +77,7 @@
 
 
 async def release_orders(caller: Caller, nodes: list[Address]) -> int:
-    """Release orders one after the other, each with a key of its own; gives how many were."""
+    """Release orders one by one, each with its own key; return how many were released."""
     released = 0
     for number in range(RELEASE_COUNT):
         headers = [(b'idempotency-key', str(uuid6.uuid7()).encode())]
@@ -90,7 +90,7 @@
 
 
 def print_counts(title: str, counts: CallCounts) -> None:
-    """Print who answered, and what was refused."""
+    """Print the number of calls by status and by target."""
     print_line(title)
     for status, count in sorted(counts.statuses.items()):
         print_line(f'  {status:<16}{count:>5}')
@@ -99,7 +99,7 @@
 
 
 def main() -> None:
-    """Start everything, send calls, stop everything."""
+    """Start the processes, send calls, and stop the processes."""
     started_at = time.monotonic()
     with Fleet() as fleet:
         print_line(f'platform on {fleet.platform_address}')
--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -1,4 +1,4 @@
-"""Starts the platform, nodes and targets as processes, and stops what it started."""
+"""Starts the platform, nodes and targets as processes, and stops them again."""
 
 import json
 import os
@@ -17,18 +17,18 @@
 
 
 class TargetSpec(NamedTuple):
-    """One target of a fleet."""
+    """A target of a fleet."""
 
     service: str
     domain: str
     slots: int
     service_seconds: float
     downstream_paths: tuple[str, ...] = ()
-    extra_args: tuple[str, ...] = ()  #: further flags of the target
+    extra_args: tuple[str, ...] = ()  #: further command-line arguments of the target
 
 
 class Process:
-    """One started process, its lines read by a thread of their own."""
+    """A child process; one thread per output stream queues the lines."""
 
     def __init__(self, argv: list[str], environ: dict[str, str]) -> None:
         self.popen = subprocess.Popen(
@@ -42,12 +42,12 @@
         self.stderr_lines = _read_lines(self.popen.stderr)
 
     def kill(self, signum: signal.Signals = signal.SIGKILL) -> None:
-        """Send a signal to just this process."""
+        """Send a signal to this process only, unless it has exited."""
         if self.popen.poll() is None:
             self.popen.send_signal(signum)
 
     def stop(self) -> int:
-        """End it, first kindly; gives its exit status."""
+        """Terminate the process, kill it after a timeout, and return its exit status."""
         self.kill(signal.SIGCONT)
         self.kill(signal.SIGTERM)
         try:
@@ -70,7 +70,7 @@
 
 
 class Deployment(NamedTuple):
-    """A target with the node beside it."""
+    """A target and its node, with their addresses."""
 
     name: str
     node: Process
@@ -82,7 +82,7 @@
 class Fleet:
     """A platform and any number of targets with their nodes; a context manager.
 
-    With ``profile_folder``, a folder, each node runs under cProfile and leaves its figures there.
+    If ``profile_folder`` is given, each node runs under cProfile and writes its profile there.
     """
 
     def __init__(self, profile_folder: str = '') -> None:
@@ -109,7 +109,7 @@
             proc.stop()
 
     def start_node(self, name: str, domain: str, **settings: str) -> tuple[Process, dict[str, str]]:
-        """Start one node; gives its process and the addresses of its faces."""
+        """Start a node; return its process and the addresses of its listeners."""
         environ = {
             'DUNLINSADDLE_INSTANCE': name,
             'DUNLINSADDLE_DOMAIN': domain,
@@ -130,7 +130,7 @@
         return node, json.loads(line)['faces']
 
     def deploy(self, name: str, spec: TargetSpec, **settings: str) -> Deployment:
-        """Start a target and the node beside it."""
+        """Start a target and its node."""
         node, listeners = self.start_node(name, spec.domain, **settings)
         argv = [sys.executable, '-m', 'standins.target', '--name', name]
         argv += ['--service', spec.service, '--node', listeners['local']]
--- a/standins/latency.py
+++ b/standins/latency.py
@@ -1,7 +1,7 @@
-"""``make latency``: what one node and two nodes add to a call, against the target itself.
+"""``make latency``: latency that one node and two nodes add to a direct call of the target.
 
-Everything runs as separate processes on loopback. The three ways are measured in turn, in
-short rounds within one run, so that a busy moment of the machine falls on all of them.
+Everything runs as separate processes on loopback. The paths are measured in turn, in short
+rounds within one run, so that other load on the machine affects all of them.
 """
 
 import argparse
@@ -32,9 +32,9 @@
 
 
 class CallPath(NamedTuple):
-    """One way to the target: where calls are sent, and the nodes that they pass.
+    """A path to the target: where calls are sent, and the nodes that forward them.
 
-    A ``has_key`` way sends calls that must run at most once, each with a key of its own.
+    With ``has_key``, calls must run at most once, and each has its own idempotency key.
     """
 
     name: str
@@ -45,7 +45,7 @@
 
 
 class PathStats:
-    """What one way took. ``cpu_seconds`` is the processor time of the nodes that are passed."""
+    """Latencies of a path, and the CPU time of the nodes on it."""
 
     def __init__(self) -> None:
         self.histogram = HdrHistogram(1, MAX_MICROSECONDS, SIGNIFICANT_DIGITS)
@@ -55,57 +55,57 @@
 
 
 def process_cpu_seconds(pid: int) -> float:
-    """Give the processor time that a process has used."""
+    """Return the CPU time that a process has used."""
     fields = Path(f'/proc/{pid}/stat').read_text().rpartition(')')[2].split()
     return (int(fields[11]) + int(fields[12])) / CLOCK_TICKS_PER_SECOND
 
 
 def resident_megabytes(pid: int) -> float:
-    """Give the memory that a process holds."""
+    """Return the resident memory of a process."""
     pages = int(Path(f'/proc/{pid}/statm').read_text().split()[1])
     return pages * os.sysconf('SC_PAGE_SIZE') / 1e6
 
 
 def nodes_cpu_seconds(call_path: CallPath) -> float:
-    """Give the processor time that all nodes of a way have used."""
+    """Return the CPU time that all nodes on a path have used."""
     return sum(process_cpu_seconds(deployment.node.popen.pid) for deployment in call_path.nodes)
 
 
 def new_key() -> str:
-    """Make a key as a caller does."""
+    """Generate an idempotency key, as a caller does."""
     return generate_key(int(time.time() * 1000), RNG, 'templates').text
 
 
 async def send_at_rate(
     caller: Caller, call_path: CallPath, rate: float, count: int, stats: PathStats
 ) -> None:
-    """Send calls at a steady rate, whether or not earlier ones are answered."""
+    """Send calls at a constant rate, without waiting for earlier responses."""
     loop = asyncio.get_running_loop()
-    first = loop.time()
+    first_at = loop.time()
 
-    async def one() -> None:
+    async def send_one() -> None:
         headers = [(b'idempotency-key', new_key().encode())] if call_path.has_key else []
-        began = time.perf_counter()
+        started_at = time.perf_counter()
         method = 'POST' if call_path.has_key else 'GET'
         response = await caller.call(call_path.address, method, call_path.path, headers)
         stats.call_count += 1
         if response is None or response.status != 200:
             stats.refused_count += 1
             return
-        stats.histogram.record_value(int((time.perf_counter() - began) * 1e6))
+        stats.histogram.record_value(int((time.perf_counter() - started_at) * 1e6))
 
     tasks = []
     for number in range(count):
-        send_at = first + number / rate
+        send_at = first_at + number / rate
         await asyncio.sleep(max(send_at - loop.time(), 0))
-        tasks.append(loop.create_task(one()))
+        tasks.append(loop.create_task(send_one()))
     await asyncio.gather(*tasks)
 
 
 async def measure(
     paths: list[CallPath], rate: float, rounds: int, count: int
 ) -> dict[str, PathStats]:
-    """Measure all ways in turn, ``rounds`` times ``count`` calls each."""
+    """Measure all paths in turn, in ``rounds`` rounds of ``count`` calls each."""
     caller = Caller()
     results = {call_path.name: PathStats() for call_path in paths}
     for call_path in paths:
@@ -121,7 +121,7 @@
 
 
 def print_report(results: dict[str, PathStats]) -> None:
-    """Print one row a way, then what the nodes add."""
+    """Print a row per path, then the latency that the nodes add."""
     print_line(
         f'{"way":<12}{"calls":>7}{"refused":>9}{"p50 us":>8}{"p99 us":>8}'
         f'{"core us/call":>14}{"calls/s/core":>14}'
@@ -145,36 +145,36 @@
 
 
 def main() -> None:
-    """Start the processes, measure, print, stop."""
+    """Start the processes, measure, and print the results."""
     parser = argparse.ArgumentParser(description='Measures the latency that nodes add.')
-    parser.add_argument('--rate', default=300.0, type=float, help='calls a second')
+    parser.add_argument('--rate', default=300.0, type=float, help='calls per second')
     parser.add_argument('--rounds', default=10, type=int)
-    parser.add_argument('--count', default=300, type=int, help='calls of a way in a round')
-    parser.add_argument('--profile', default='', help='folder for a cProfile file of each node')
+    parser.add_argument('--count', default=300, type=int, help='calls of a path per round')
+    parser.add_argument('--profile', default='', help='folder for the cProfile output of each node')
     args = parser.parse_args()
     with Fleet(args.profile) as fleet, tempfile.TemporaryDirectory() as folder:
         target = fleet.deploy('bangor-1', TargetSpec('templates', 'bangor-hall', 140, 0.0))
-        # A node with a target of another service: its calls all go to the one above.
-        entry = fleet.deploy('menai-1', TargetSpec('slab-stock', 'menai-hall', 140, 0.0))
+        # The target of this node runs another service, so it forwards all calls to the first node.
+        ingress = fleet.deploy('menai-1', TargetSpec('slab-stock', 'menai-hall', 140, 0.0))
         record = Path(folder) / 'templates.json'
         record.write_bytes(msgspec.json.encode(RECORD))
-        run_operator_command(entry.listeners['operators'], 'apply', str(record))
-        nodes = {p.name: parse_address(p.listeners['callers']) for p in (target, entry)}
+        run_operator_command(ingress.listeners['operators'], 'apply', str(record))
+        nodes = {p.name: parse_address(p.listeners['callers']) for p in (target, ingress)}
         asyncio.run(wait_until_served(list(nodes.values()), PATH))
         paths = [
             CallPath('direct', parse_address(target.target_address), '/oak/1', ()),
             CallPath('one node', nodes['bangor-1'], PATH, (target,)),
-            CallPath('two nodes', nodes['menai-1'], PATH, (entry, target)),
-            CallPath('two, keyed', nodes['menai-1'], PATH, (entry, target), has_key=True),
+            CallPath('two nodes', nodes['menai-1'], PATH, (ingress, target)),
+            CallPath('two, keyed', nodes['menai-1'], PATH, (ingress, target), has_key=True),
         ]
-        print_line(f'{args.rate:g} calls a second, {args.rounds} rounds in turn')
-        began = os.getloadavg()[0]
+        print_line(f'{args.rate:g} calls per second, {args.rounds} rounds')
+        load_before = os.getloadavg()[0]
         print_report(asyncio.run(measure(paths, args.rate, args.rounds, args.count)))
-        for name, deployment in (('beside', target), ('entry', entry)):
+        for name, deployment in (('beside', target), ('entry', ingress)):
             print_line(
                 f'node {name}: {resident_megabytes(deployment.node.popen.pid):.1f} MB resident'
             )
-        print_line(f'load of the machine: {began:.1f} before, {os.getloadavg()[0]:.1f} after')
+        print_line(f'load average: {load_before:.1f} before, {os.getloadavg()[0]:.1f} after')
 
 
 if __name__ == '__main__':
--- a/standins/mesh.py
+++ b/standins/mesh.py
@@ -1,4 +1,4 @@
-"""A small platform of processes: the store, nodes, targets, and proxies that can harm them."""
+"""A cluster of processes: the store, nodes and targets, with proxies that inject faults."""
 
 import asyncio
 import json
@@ -20,11 +20,11 @@
 from standins.mesh_target import STATE_PATH, AdvertisedState
 from standins.proxy import Proxy
 
-#: Each machine has an address of its own on loopback, as nodes tell their target's calls by it.
+#: Each machine has its own loopback address, by which nodes recognise the calls of their target.
 HOST_FORMAT = '127.77.{}.{}'
 LISTENER_PORTS = {'outbound': 8304, 'ready': 8302, 'control': 8306}
 APP_PORT, TARGET_PORT, STORE_PORT = 8301, 8401, 8309
-RETRY_SECONDS = 0.2  #: between two tries of the operator
+RETRY_SECONDS = 0.2  #: between two attempts to write the configuration
 INTERNAL_PORT_RANGE = [7620, 7635]
 NODE_BOUNDS = {
     'drain': '2000ms',
@@ -36,7 +36,7 @@
 
 
 class Machine(NamedTuple):
-    """One machine: its processes, and the proxies before its target and its way to the store."""
+    """One machine: its processes, and the proxies in front of its target and of the store."""
 
     name: str
     service: str
@@ -48,36 +48,36 @@
 
     @property
     def outbound_address(self) -> Address:
-        """Where callers on the machine send requests."""
+        """Address to which callers on the machine send requests."""
         return Address(self.host, LISTENER_PORTS['outbound'])
 
 
 class ServiceSpec(NamedTuple):
-    """A service of a trial."""
+    """A service and the behaviour of its targets."""
 
     service: str
     slots: int = 20
     service_seconds: float = 0.02
-    called_paths: tuple[str, ...] = ()
+    downstream_paths: tuple[str, ...] = ()
     kind: str = 'safe'
 
 
 class UnconfirmedWriteError(Exception):
-    """The store has not said that it took a configuration; it may have taken it all the same."""
+    """The store did not confirm a configuration; it may nevertheless have stored it."""
 
 
 class MeshFleet:
-    """Starts processes, and stops what it started; an asynchronous context manager."""
+    """Starts processes, and stops them on exit; an asynchronous context manager."""
 
     def __init__(self, subnet: int) -> None:
-        self.subnet = subnet  #: of those that share this host, below 250
+        self.subnet = subnet  #: below 250; fleets on the same host need different ones
         self.temp_dir = tempfile.TemporaryDirectory()
         self.processes: list[Process] = []
         self.machines: dict[str, Machine] = {}
         self.client = HttpClient()
         self.store_address = Address(HOST_FORMAT.format(subnet, 1), STORE_PORT)
         self.version = 0
-        self.accepted_version = 0  #: the latest version that the store is known to have taken
+        self.accepted_version = 0  #: latest version confirmed by the store
         self._revision = 0
         self._node_environ: dict[str, dict[str, str]] = {}
         self._target_commands: dict[str, list[str]] = {}
@@ -114,9 +114,9 @@
         store_proxy = Proxy(self.store_address)
         await store_proxy.listen(Address(host, STORE_PORT))
         path = Path(self.temp_dir.name) / f'{name}.json'
-        path.write_text(json.dumps(_node_file(name, domain, spec.service, host)))
+        path.write_text(json.dumps(_build_node_file(name, domain, spec.service, host)))
         self._node_environ[name] = {'DUNLINSADDLE_NODE_FILE': str(path)}
-        self._target_commands[name] = _target_command(host, spec)
+        self._target_commands[name] = _build_target_command(host, spec)
         node, target = self.start_node(name), self.start_target(name)
         machine = Machine(name, spec.service, host, node, target, target_proxy, store_proxy)
         self.machines[name] = machine
@@ -132,7 +132,7 @@
         return self._start(self._target_commands[name])
 
     def restart_processes(self, name: str, *, node: bool = False, target: bool = False) -> None:
-        """Start what has ended at a machine once more."""
+        """Start the node, the target, or both of a machine again after they have exited."""
         machine = self.machines[name]
         if node:
             machine = machine._replace(node=self.start_node(name))
@@ -143,24 +143,25 @@
     async def configure(self, specs: list[ServiceSpec]) -> None:
         """Write the next configuration: a route ``/SERVICE/`` to each service.
 
-        Raises NotWritten when the store gives no answer, refuses, or shows that an earlier
-        write took effect whose answer was lost; that one's revision is known from then on.
+        Raises UnconfirmedWriteError if the store does not respond or refuses, or if its conflict
+        response shows that an earlier write took effect whose response was lost. After a conflict
+        the revision of the stored configuration is known.
         """
         self.version += 1
-        await self._write(self.version, specs)
+        await self._write_version(self.version, specs)
 
     async def rewrite_until_accepted(self, specs: list[ServiceSpec]) -> None:
-        """Write what the store may have lost as it returned from a copy, until it is taken."""
+        """Write the accepted version until it is stored, as a restored store may have lost it."""
         while True:
             response = await self.send_request(self.store_address, 'GET', '/objects/config/main')
             self._revision = _revision_in(response)
             try:
-                return await self._write(max(self.accepted_version, 1), specs)
+                return await self._write_version(max(self.accepted_version, 1), specs)
             except UnconfirmedWriteError:
                 await asyncio.sleep(RETRY_SECONDS)
 
-    async def _write(self, version: int, specs: list[ServiceSpec]) -> None:
-        value = _configuration(version, specs)
+    async def _write_version(self, version: int, specs: list[ServiceSpec]) -> None:
+        value = _build_configuration(version, specs)
         meta: dict[str, Any] = {'name': 'main'}
         method, path = 'POST', '/objects/config'
         if self._revision:
@@ -178,30 +179,30 @@
     async def send_request(
         self, address: Address, method: str, path: str, body: bytes = b''
     ) -> HttpResponse | None:
-        """Send a request past all proxies; None where no answer came."""
+        """Send a request that bypasses all proxies; return None if there is no response."""
         exchange = await self.client.send(address, HttpRequest(method, path, [], body, ''), 3.0)
         return exchange.response if isinstance(exchange, Answered) else None
 
     async def save_copy(self) -> None:
-        """Let the store keep a copy of what it holds now."""
+        """Make the store save a copy of its current objects."""
         await self.send_request(self.store_address, 'POST', '/keep')
 
     async def restore_copy(self) -> None:
-        """Let the store lose what was written since the copy."""
+        """Make the store restore the saved copy, and so lose all later writes."""
         await self.send_request(self.store_address, 'POST', '/return')
 
     async def set_store_faults(self, **faults: Any) -> None:
-        """Set what goes wrong at the store."""
+        """Set the faults of the store; without arguments, clear them."""
         await self.send_request(self.store_address, 'POST', '/faults', msgspec.json.encode(faults))
 
     async def set_advertised_state(self, name: str, state: AdvertisedState) -> str:
-        """Let a machine's target say something of itself; gives its id, empty if it is away."""
+        """Set what a machine's target advertises; return its id, or '' if there is no response."""
         address = Address(self.machines[name].host, TARGET_PORT)
         response = await self.send_request(address, 'POST', STATE_PATH, msgspec.json.encode(state))
         return str(msgspec.json.decode(response.body)['target']) if response else ''
 
     async def fetch_run_counts(self, name: str) -> dict[str, int]:
-        """Give how often the present target of a machine ran each request."""
+        """Return how often the current target of a machine has run each request."""
         address = Address(self.machines[name].host, TARGET_PORT)
         response = await self.send_request(address, 'GET', '/-/runs')
         return msgspec.json.decode(response.body, type=dict[str, int]) if response else {}
@@ -213,7 +214,7 @@
 
 
 def build_call_headers(request_id: str, timeout_seconds: float) -> list[tuple[bytes, bytes]]:
-    """Give the headers of a caller's request."""
+    """Return the headers of a caller's request."""
     remaining_ms = b'%d' % int(timeout_seconds * 1000)
     return [
         (b'host', b'h.example'),
@@ -223,13 +224,13 @@
 
 
 def _revision_in(response: HttpResponse | None) -> int:
-    """Give the revision of an object that the store holds, 0 for none."""
+    """Return the revision of the object in a response of the store, 0 if there is none."""
     if response is None or response.status not in (200, 409):
         return 0
     return int(msgspec.json.decode(response.body)['metadata']['revision'])
 
 
-def _target_command(host: str, spec: ServiceSpec) -> list[str]:
+def _build_target_command(host: str, spec: ServiceSpec) -> list[str]:
     argv = [sys.executable, '-m', 'standins.mesh_target', '--service', spec.service]
     argv += ['--listen', f'{host}:{TARGET_PORT}', '--named', f'{host}:{APP_PORT}']
     argv += [
@@ -239,18 +240,18 @@
         f'{host}:{LISTENER_PORTS["outbound"]}',
     ]
     argv += ['--slots', str(spec.slots), '--seconds', str(spec.service_seconds)]
-    for path in spec.called_paths:
+    for path in spec.downstream_paths:
         argv += ['--call', path]
     return argv
 
 
-def _node_file(name: str, domain: str, service: str, host: str) -> dict[str, Any]:
+def _build_node_file(name: str, domain: str, service: str, host: str) -> dict[str, Any]:
     return {
         'nodeName': name,
         'ipAddress': host,
         'zone': domain,
         'region': 'r',
-        'listen': {face: f'{host}:{port}' for face, port in LISTENER_PORTS.items()},
+        'listen': {listener: f'{host}:{port}' for listener, port in LISTENER_PORTS.items()},
         'internalPortRange': INTERNAL_PORT_RANGE,
         'bounds': NODE_BOUNDS,
         'appAddress': f'{host}:{APP_PORT}',
@@ -259,7 +260,7 @@
     }
 
 
-def _route(spec: ServiceSpec, prefix: str) -> dict[str, Any]:
+def _build_route(spec: ServiceSpec, prefix: str) -> dict[str, Any]:
     route = {
         'host': 'h.example',
         'pathPrefix': prefix,
@@ -273,13 +274,13 @@
     return {'resourceKind': 'routes', 'metadata': {'name': prefix}, 'specification': route}
 
 
-def _configuration(version: int, specs: list[ServiceSpec]) -> dict[str, Any]:
-    # A route for each version so far shows callers which of them are in force.
-    entries = [_route(specs[0], f'/r{number}/') for number in range(1, version + 1) if specs]
+def _build_configuration(version: int, specs: list[ServiceSpec]) -> dict[str, Any]:
+    # Each version adds a route, so that callers can observe which version a node applies.
+    entries = [_build_route(specs[0], f'/r{number}/') for number in range(1, version + 1) if specs]
     for spec in specs:
         service = {'healthPath': '/health', 'maxConnections': 200}
         entries += [
-            _route(spec, f'/{spec.service}/'),
+            _build_route(spec, f'/{spec.service}/'),
             {
                 'resourceKind': 'services',
                 'metadata': {'name': spec.service},
--- a/standins/mesh_target.py
+++ b/standins/mesh_target.py
@@ -1,4 +1,4 @@
-"""A target of the users' platform: heartbeats, slots, signed answers, and calls of its own."""
+"""A target on the users' platform: heartbeats, slots, signed responses, and downstream calls."""
 
 import argparse
 import asyncio
@@ -17,21 +17,21 @@
 from dunlinsaddle.platform.heartbeats import INSTANCES_PATH
 from dunlinsaddle.settings import parse_address
 
-HEARTBEAT_SECONDS = 0.5  #: between heartbeats; a third of the platform's, so that trials are short
+HEARTBEAT_SECONDS = 0.5  #: a third of the platform's interval, to keep trials short
 CALL_TIMEOUT_SECONDS = 2.0
-STATE_PATH = '/-/says'  #: takes what it is to say of itself with its answers
+STATE_PATH = '/-/says'  #: sets the state that the target advertises in its responses
 MISDIRECTED_REQUEST = 421
 
 
 class AdvertisedState(msgspec.Struct):
-    """What a target says of itself with its answers, beside its heartbeats."""
+    """State that a target advertises in its responses, in addition to its heartbeats."""
 
-    rate: float | None = None  #: requests a second
+    rate: float | None = None  #: requests per second
     leaving: bool = False
 
 
 class MeshTarget:
-    """Runs requests that expect it, ``slots`` at once, and tells on request what it has run."""
+    """Runs requests addressed to its id, at most ``slots`` at once, and reports which it ran."""
 
     def __init__(self, options: argparse.Namespace) -> None:
         self.options = options
@@ -71,7 +71,7 @@
     async def _run(self, req: HttpRequest) -> HttpResponse:
         request_id = req.header(names.REQUEST_ID)
         self.run_counts[request_id] = self.run_counts.get(request_id, 0) + 1
-        # Told at once: what a target that is killed had run must not be lost with it.
+        # Printed before the work: the soak must also know the runs of a target that is killed.
         print(f'run {request_id}', flush=True)  # noqa: T201
         await asyncio.sleep(self.options.seconds)
         succeeded = [await self._call(path, request_id) for path in self.options.call]
@@ -103,7 +103,7 @@
         return isinstance(exchange, Answered) and exchange.response.status == 200
 
     async def send_heartbeat(self) -> bool:
-        """Send one heartbeat; say whether it was acknowledged."""
+        """Send one heartbeat; return whether it was acknowledged."""
         self.sequence += 1
         heartbeat = {
             'service': self.options.service,
@@ -129,7 +129,7 @@
 
 
 async def serve(options: argparse.Namespace) -> None:
-    """Serve until SIGTERM, then drain: tell the node, serve on for a while, and leave."""
+    """Serve until SIGTERM, then drain: notify the node, keep serving for a while, deregister."""
     target = MeshTarget(options)
     stop = asyncio.Event()
     asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, stop.set)
@@ -147,7 +147,7 @@
 
 
 def main() -> None:
-    """Run the stand-in as a process."""
+    """Run the target as a process."""
     parser = argparse.ArgumentParser(description="Stand-in for a target of the users' platform.")
     parser.add_argument('--listen', type=parse_address, required=True)
     parser.add_argument('--named', type=parse_address, required=True, help='As callers see it.')
--- a/standins/once_cost.py
+++ b/standins/once_cost.py
@@ -1,4 +1,4 @@
-"""Measures what at-most-once costs a node: time for a decision, memory for a key."""
+"""Measures the cost of at-most-once calls at a node: time per decision, memory per key."""
 
 import sys
 import time
@@ -25,7 +25,7 @@
 
 
 def measure_decisions(texts: list[str]) -> tuple[KeyTable[Reply], float]:
-    """Take each key once, from its text to its answer; gives microseconds for one."""
+    """Process each key once, from parsing to its response; return the microseconds per key."""
     table: KeyTable[Reply] = KeyTable()
     began = time.perf_counter()
     for text in texts:
@@ -39,7 +39,7 @@
 
 
 def measure_planning(instances: int) -> tuple[int, float]:
-    """Plan ranges that are well; gives the bytes of the map and microseconds for one plan."""
+    """Plan a stable range map; return its size in bytes and the microseconds per plan."""
     names = [f'instance-{number}' for number in range(instances)]
     ranges = RangeMap()
     for name in names:
@@ -54,7 +54,7 @@
 
 
 def main() -> None:
-    """Print the figures."""
+    """Print the measurements."""
     rng = Random(1)
     texts = [generate_key(NOW, rng, 'cut-orders').text for _ in range(KEYS)]
     _, micros = measure_decisions(texts)
@@ -62,7 +62,7 @@
     table, _ = measure_decisions(texts)
     memory = tracemalloc.get_traced_memory()[0] / len(table)
     tracemalloc.stop()
-    sys.stdout.write(f'decision: {micros:.1f} us, memory of a key: {memory:.0f} bytes\n')
+    sys.stdout.write(f'decision: {micros:.1f} us, memory per key: {memory:.0f} bytes\n')
     for instances in (3, 7, 20):
         size, micros = measure_planning(instances)
         sys.stdout.write(f'{instances} instances: map {size} bytes, plan {micros:.0f} us\n')
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -1,4 +1,4 @@
-"""The platform's object store in memory, with outages, slowness and lost answers at will."""
+"""In-memory stand-in for the platform's object store, with injectable faults."""
 
 import argparse
 import asyncio
@@ -19,60 +19,60 @@
 
 
 class Faults(TypedDict, total=False):
-    """What goes wrong, as ``POST /faults`` sets it."""
+    """Faults of the store, set by ``POST /faults``."""
 
-    down: bool  #: no answer at all
-    busy: bool  #: 503 to everything: nothing was done
-    over_rate: bool  #: 429 to everything
-    delay: float  #: seconds before each answer
-    lose_answers: int  #: so many writes take effect, and their answers get lost
-    act_late: float  #: seconds after which writes are done, and their answers get lost
-    refused_hosts: list[str]  #: callers that get 503, while others are served
-    page: int  #: items in one page of a listing
-    no_history: bool  #: 410 to every watch
+    down: bool  #: requests get no response
+    busy: bool  #: every request is refused with 503
+    over_rate: bool  #: every request is refused with 429
+    delay: float  #: seconds before each response
+    lose_answers: int  #: number of writes that take effect but get no response
+    act_late: float  #: seconds until writes take effect; they get no response
+    refused_hosts: list[str]  #: hosts whose requests are refused with 503
+    page: int  #: items per page of a listing
+    no_history: bool  #: every watch is refused with 410
 
 
 class WatchEvent(TypedDict):
-    """One change, as a watch gives it."""
+    """A change, as returned by a watch."""
 
     object: dict[str, Any]
     removed: bool
 
 
 class StoreCopy(NamedTuple):
-    """What the store held at some moment."""
+    """A copy of all objects and of the revision."""
 
     objects: dict[tuple[str, str], dict[str, Any]]
     revision: int
 
 
 class Platform:
-    """Objects by kind and name, with one counter of revisions for all of them."""
+    """Objects by kind and name, with one revision counter for all of them."""
 
     def __init__(self) -> None:
         self.objects: dict[tuple[str, str], dict[str, Any]] = {}
         self.revision = 1
-        self.epoch = 0  #: rises when the store comes back from a copy; told in every answer
+        self.epoch = 0  #: increases with each restore; sent in every response
         self.events: list[tuple[str, WatchEvent]] = []
-        self.oldest_revision = 1  #: revision from which on the history is still held
+        self.oldest_revision = 1  #: oldest revision from which a watch can start
         self.change_event = asyncio.Event()
         self.faults = Faults()
         self.read_count = 0
         self.write_count = 0
-        self.saved_copy = self.copy()  #: what it returns from when it is told to
+        self.saved_copy = self.copy()  #: restored by ``POST /return``
         self._delayed_writes: set[asyncio.Task[None]] = set()
 
     def forget_history(self) -> None:
-        """Drop all changes so far: watches from before get 410."""
+        """Drop all past changes, so that watches from an earlier revision get 410."""
         self.events.clear()
         self.oldest_revision = self.revision
 
     def copy(self) -> StoreCopy:
-        """Give what is held now. Objects are replaced, never changed in place."""
+        """Copy the current state. The copy is shallow, as objects are never modified in place."""
         return StoreCopy(dict(self.objects), self.revision)
 
     def restore(self, copy: StoreCopy) -> None:
-        """Come back from a copy: what was written since is gone, and its revisions are reused."""
+        """Restore a copy: later writes are lost, and their revisions are assigned again."""
         self.objects = dict(copy.objects)
         self.revision = copy.revision
         self.oldest_revision = min(self.oldest_revision, copy.revision)
@@ -81,7 +81,7 @@
         self._wake_watchers()
 
     async def handle(self, req: HttpRequest) -> HttpResponse:
-        """Answer one request."""
+        """Handle one request."""
         response = await self._answer(req)
         response.headers.append((b'store-era', str(self.epoch).encode()))
         return response
@@ -104,7 +104,7 @@
         if self.faults.get('busy') or req.remote in self.faults.get('refused_hosts', []):
             return json_response({'error': 'busy'}, 503)
         if self.faults.get('over_rate'):
-            return json_response({'error': 'over the rate'}, 429)
+            return json_response({'error': 'rate limit exceeded'}, 429)
         await asyncio.sleep(self.faults.get('delay', 0.0))
         if req.method in WRITE_METHODS:
             return await self._answer_write(req)
@@ -163,9 +163,9 @@
             except TimeoutError:
                 break
         if self.epoch != epoch:
-            return json_response({'error': 'cut off'}, 503)
+            return json_response({'error': 'watch interrupted'}, 503)
         if not self._has_history(since):
-            return json_response({'error': 'this history is gone'}, 410)
+            return json_response({'error': 'history no longer available'}, 410)
         events = self._events_since(kind, since)
         return json_response({'events': events, 'atRevision': self.revision})
 
@@ -236,7 +236,7 @@
         return stored
 
     def _wake_watchers(self) -> None:
-        """Wake all that wait now; each of them looks again for what it waits for."""
+        """Wake all current watchers, so that each checks for new events."""
         self.change_event.set()
         self.change_event = asyncio.Event()
 
@@ -250,15 +250,15 @@
 
 
 async def serve(address: Address) -> None:
-    """Serve until cancelled; prints the address first."""
+    """Print the address, and serve until cancelled."""
     listener = HttpListener(Platform().handle, HttpLimits(max_body_bytes=MAX_VALUE_BYTES))
     print(await listener.listen(address), flush=True)  # noqa: T201
     await asyncio.Event().wait()
 
 
 def main() -> None:
-    """Run the stand-in as a process."""
-    parser = argparse.ArgumentParser(description='Stand-in for the platform.')
+    """Run the store as a process."""
+    parser = argparse.ArgumentParser(description="Stand-in for the platform's object store.")
     parser.add_argument('--listen', default='127.0.0.1:0', type=parse_address)
     args = parser.parse_args()
     asyncio.run(serve(args.listen))
--- a/standins/press.py
+++ b/standins/press.py
@@ -1,8 +1,8 @@
-"""``make run_load``: overload of a chain of three services, as separate processes on loopback.
+"""``make press``: overload test of a chain of three services, as processes on loopback.
 
-The demand is an open loop: requests come as a Poisson process whether or not earlier ones are
-answered. The naive way is the same chain with records in mode observe, so that nodes forward
-and refuse nothing, and with targets that send each failed call down three times more.
+The load is an open loop: requests arrive as a Poisson process, independent of the responses. For
+comparison, ``--naive`` runs the same chain with records in mode observe, so that nodes forward
+every call and refuse none, and with targets that retry each failed downstream call three times.
 """
 
 import argparse
@@ -36,31 +36,31 @@
 CRITICAL_SHARE = 0.03
 IMPATIENT_PAUSE_SECONDS = 0.1
 NAIVE_RETRIES = 3
-SENDER_COUNT = 6  #: processes, so that the callers are not the limit
-START_DELAY_SECONDS = 2.0  #: seconds until all senders have started
-WATCH_SECONDS = 0.5
-RECOVERY_STEP_SECONDS = 0.25  #: seconds between two looks at the goodput after a surge
-RECOVERED_SHARE = 0.99
+SENDER_COUNT = 6  #: processes, so that the callers are not the bottleneck
+START_DELAY_SECONDS = 2.0  #: time allowed for the senders to start
+STATE_POLL_SECONDS = 0.5
+RECOVERY_STEP_SECONDS = 0.25  #: step at which goodput is checked after the overload
+RECOVERED_SHARE = 0.99  #: of the steady goodput, at which the chain has recovered
 READ_PATH = '/cut-orders/orders/17'
 RELEASE_PATH = '/cut-orders/orders/17/release'
 
 
 class Phase(NamedTuple):
-    """A demand, as a multiple of capacity, for a number of seconds."""
+    """A load, as a multiple of capacity, and its duration."""
 
     load: float
     seconds: float
 
 
 class Scenario(NamedTuple):
-    """What is started and pressed; capacity in whole requests a second."""
+    """Targets and load of a test run; capacity is in requests per second through all hops."""
 
     targets: tuple[tuple[str, str], ...]  #: service and failure domain of each
-    ingress_count: int  #: the first so many nodes are given the demand
+    ingress_count: int  #: the load goes to the first nodes, as many as this
     hops: int
     capacity: float
     phases: tuple[Phase, ...]
-    max_resends: int  #: of one request by its caller
+    max_resends: int  #: by the caller of a request
 
 
 CHAIN = Scenario(
@@ -71,7 +71,7 @@
     phases=(Phase(0.8, 8), Phase(1, 8), Phase(2, 8), Phase(4, 10), Phase(0.8, 12)),
     max_resends=2,
 )
-#: One node takes everything; the other one only watches whether it holds that node for dead.
+#: One node gets the whole load; the other only observes whether the first appears dead.
 FLOOD = Scenario(
     targets=(('cut-orders', 'bangor-hall'), ('templates', 'menai-hall')),
     ingress_count=1,
@@ -83,24 +83,27 @@
 
 
 class RequestResult(NamedTuple):
-    """One request, from its first sending to the end of its last. Times of the loop's clock."""
+    """A request, from its first attempt to the end of its last; times are of the loop's clock."""
 
     started_at: float
     ended_at: float
     critical: bool
     succeeded: bool
-    is_unknown: bool
+    outcome_unknown: bool
 
 
 class UsageSnapshot(NamedTuple):
-    """What had been spent at one moment: target calls begun, processor seconds of all nodes."""
+    """Calls started at all targets and CPU time used by all nodes so far."""
 
     started_calls: int
     cpu_seconds: float
 
 
 class Attempt(NamedTuple):
-    """What came of one sending: when it began on the loop's clock, and how long it took."""
+    """One attempt of a request: start time on the loop's clock, duration and kind of result.
+
+    The kind of a successful attempt is ``whole``.
+    """
 
     started_at: float
     seconds: float
@@ -108,7 +111,7 @@
 
 
 class LoadResult(NamedTuple):
-    """Requests and attempts of a load run, and how late each request was sent."""
+    """Results of all requests and attempts, and how late each request was sent."""
 
     requests: list[RequestResult]
     attempts: list[Attempt]
@@ -116,7 +119,7 @@
 
 
 class SenderTask(NamedTuple):
-    """What one sender is to send. All processes of a machine share the clock of the loops."""
+    """The load of one sender. The loops of all processes on a machine use the same clock."""
 
     nodes: list[Address]
     scenario: Scenario
@@ -126,7 +129,7 @@
 
 
 class Sender:
-    """Sends its share of the demand, and keeps what came of it."""
+    """Sends its share of the load, and records the results."""
 
     def __init__(self, task: SenderTask) -> None:
         self.task = task
@@ -135,7 +138,7 @@
         self.result = LoadResult([], [], [])
 
     async def run(self) -> LoadResult:
-        """Send all phases, and wait for the last answers."""
+        """Send the load of all phases, and wait for the last responses."""
         tasks: list[asyncio.Task[None]] = []
         start = self.task.start_at
         for phase in self.task.scenario.phases:
@@ -162,39 +165,41 @@
         loop = asyncio.get_running_loop()
         started_at = loop.time()
         deadline = started_at + DEADLINE_SECONDS
-        name = str(uuid6.uuid7()).encode()
-        headers = [(b'request-id', name)]
+        request_id = str(uuid6.uuid7()).encode()
+        headers = [(b'request-id', request_id)]
         if critical:
-            headers.append((b'idempotency-key', name))
-        kind, is_unknown = '', False
+            headers.append((b'idempotency-key', request_id))
+        kind, outcome_unknown = '', False
         for _ in range(self.task.scenario.max_resends + 1):
-            kind, pause = await self._send_once(node, headers, deadline - loop.time(), critical)
-            is_unknown = is_unknown or kind.startswith('unknown')
-            if kind == 'whole' or not pause or loop.time() + pause >= deadline:
+            kind, pause_seconds = await self._send_once(
+                node, headers, deadline - loop.time(), critical
+            )
+            outcome_unknown = outcome_unknown or kind.startswith('unknown')
+            if kind == 'whole' or not pause_seconds or loop.time() + pause_seconds >= deadline:
                 break
-            await asyncio.sleep(pause)
+            await asyncio.sleep(pause_seconds)
         self.result.requests.append(
-            RequestResult(started_at, loop.time(), critical, kind == 'whole', is_unknown)
+            RequestResult(started_at, loop.time(), critical, kind == 'whole', outcome_unknown)
         )
 
     async def _send_once(
         self, node: Address, headers: Headers, timeout: float, critical: bool
     ) -> tuple[str, float]:
-        """Send a request once; gives what came, and the pause before the next sending."""
+        """Send a request once; return the kind of result and the pause before the next attempt."""
         loop = asyncio.get_running_loop()
         started_at = loop.time()
         method, path = ('POST', RELEASE_PATH) if critical else ('GET', READ_PATH)
         request_headers = [*headers, (b'request-timeout', f'{timeout:.3f}'.encode())]
         response = await self.caller.call(node, method, path, request_headers, timeout=timeout)
-        kind, pause = 'unknown: no answer', 0.0
+        kind, pause_seconds = 'unknown: no response', 0.0
         if response is not None:
             response_headers = dict(response.headers)
-            pause = float(response_headers.get(b'retry-after', b'0'))
+            pause_seconds = float(response_headers.get(b'retry-after', b'0'))
             kind = _classify(response.status, response_headers, response.body)
         if self.task.impatient and kind != 'whole':
-            pause = IMPATIENT_PAUSE_SECONDS
+            pause_seconds = IMPATIENT_PAUSE_SECONDS
         self.result.attempts.append(Attempt(started_at, loop.time() - started_at, kind))
-        return kind, pause
+        return kind, pause_seconds
 
 
 def _classify(status: int, headers: dict[bytes, bytes], body: bytes) -> str:
@@ -206,7 +211,7 @@
 
 
 async def take_snapshot(fleet: Fleet) -> UsageSnapshot:
-    """Ask all targets how many calls they have begun."""
+    """Query the calls started at all targets and the CPU time of all nodes."""
     caller = Caller()
     started_calls = 0
     for deployment in fleet.deployments.values():
@@ -220,11 +225,11 @@
 
 
 async def count_states(fleet: Fleet, states: Counter[str]) -> None:
-    """Count the states in which the last node sees the first one, until cancelled."""
+    """Count the states that the last node reports for the first one, until cancelled."""
     first, last = next(iter(fleet.deployments)), list(fleet.deployments.values())[-1]
     operators = last.listeners['operators']
     while True:
-        await asyncio.sleep(WATCH_SECONDS)
+        await asyncio.sleep(STATE_POLL_SECONDS)
         targets = json.loads(
             await asyncio.to_thread(run_operator_command, operators, 'targets', '--json')
         )
@@ -232,12 +237,12 @@
 
 
 def run_sender(task: SenderTask) -> LoadResult:
-    """Run one sender; the body of its process."""
+    """Run one sender in its own process."""
     return asyncio.run(Sender(task).run())
 
 
 async def run_load(fleet: Fleet, scenario: Scenario, *, seed: int, impatient: bool) -> None:
-    """Send all phases, wait for the last answers, and print what came."""
+    """Run all phases, and print the results."""
     nodes = [parse_address(p.listeners['callers']) for p in fleet.deployments.values()][
         : scenario.ingress_count
     ]
@@ -246,7 +251,7 @@
     boundaries = [loop.time() + START_DELAY_SECONDS]
     task = SenderTask(nodes, scenario, boundaries[0], seed, impatient)
     states: Counter[str] = Counter()
-    watching = asyncio.create_task(count_states(fleet, states))
+    count_task = asyncio.create_task(count_states(fleet, states))
     with ProcessPoolExecutor(SENDER_COUNT, multiprocessing.get_context('spawn')) as pool:
         senders = [
             loop.run_in_executor(pool, run_sender, task._replace(seed=seed + number))
@@ -259,21 +264,21 @@
             await asyncio.sleep(boundaries[-1] - loop.time())
             snapshots.append(await take_snapshot(fleet))
         results = await asyncio.gather(*senders)
-    watching.cancel()
+    count_task.cancel()
     result = LoadResult(
         [req for share in results for req in share.requests],
         [attempt for share in results for attempt in share.attempts],
         [delay for share in results for delay in share.send_delays_seconds],
     )
     print_report(result, scenario, boundaries, snapshots)
-    print_line(f'the latest sending was {max(result.send_delays_seconds):.2f} s behind its time')
-    print_line(f'the first node as the last one saw it: {dict(states)}')
+    print_line(f'maximum delay in sending: {max(result.send_delays_seconds):.2f} s')
+    print_line(f'states of the first node as seen by the last: {dict(states)}')
 
 
 def print_report(
     result: LoadResult, scenario: Scenario, boundaries: list[float], snapshots: list[UsageSnapshot]
 ) -> None:
-    """Print a row a phase, the answers by kind, and the recovery."""
+    """Print a row per phase, the results by kind, and the recovery time."""
     print_line(
         f'{"load":>5}{"requests":>9}{"whole/s":>9}{"goodput":>9}{"critical":>10}{"unknown":>8}'
         f'{"wasted":>8}{"p50 ms":>8}{"p99 ms":>8}{"refused p99":>12}{"cores":>7}'
@@ -287,12 +292,12 @@
             kind for started_at, _, kind in result.attempts if start <= started_at < end
         )
         counts = ', '.join(f'{count} {kind}' for kind, count in kinds.most_common())
-        print_line(f'answers at {phase.load:g}: {counts}')
+        print_line(f'results at {phase.load:g}: {counts}')
     steady_share = success_share(
         result.requests, boundaries[0] + scenario.phases[0].seconds / 2, boundaries[1]
     )
     recovered_after = recovery_time(result.requests, boundaries[-2], boundaries[-1], steady_share)
-    print_line(f'back at {RECOVERED_SHARE:.0%} of steady goodput after: {recovered_after}')
+    print_line(f'recovered to {RECOVERED_SHARE:.0%} of steady goodput after: {recovered_after}')
 
 
 def _row(
@@ -321,14 +326,14 @@
     return (
         f'{phase.load:>5g}{len(requests):>9}{succeeded / phase.seconds:>9.1f}'
         f'{succeeded / phase.seconds / scenario.capacity:>9.2f}{critical_text:>10}'
-        f'{sum(req.is_unknown for req in requests):>8}{wasted:>8.2f}'
+        f'{sum(req.outcome_unknown for req in requests):>8}{wasted:>8.2f}'
         f'{p50:>8.0f}{p99:>8.0f}{refused_p99:>12.0f}'
         f'{(after.cpu_seconds - before.cpu_seconds) / phase.seconds:>7.2f}'
     )
 
 
 def success_share(requests: list[RequestResult], start: float, end: float) -> float:
-    """Give the share of the requests that began in a time which were answered whole."""
+    """Return the share of successful requests among those started in an interval."""
     successes = [req.succeeded for req in requests if start <= req.started_at < end]
     return sum(successes) / len(successes) if successes else 0.0
 
@@ -336,7 +341,7 @@
 def recovery_time(
     requests: list[RequestResult], start: float, end: float, steady_share: float
 ) -> str:
-    """Give the time until the first second in which the steady share comes whole again."""
+    """Return the time until the first second in which the success share is steady again."""
     after = 0.0
     while start + after + 1 <= end:
         share = success_share(requests, start + after, start + after + 1)
@@ -347,7 +352,7 @@
 
 
 def build_record(service: str, *, naive: bool) -> dict[str, object]:
-    """Give the record of one service."""
+    """Return the record of one service."""
     release = {'name': 'release', 'method': 'POST', 'path': '/orders/*/release'}
     return {
         'schema': 2,
@@ -364,7 +369,7 @@
 
 
 def start_targets(fleet: Fleet, scenario: Scenario, *, naive: bool, holds_slots: bool) -> None:
-    """Start two targets of each service, and apply the records."""
+    """Start the targets of the scenario, and apply the records of their services."""
     retries = NAIVE_RETRIES if naive else 0
     extra_args = ('--retries', str(retries), *(() if holds_slots else ('--frees-slots',)))
     downstream = dict(pairwise(SERVICES)) if scenario.hops > 1 else {}
@@ -381,21 +386,23 @@
 
 
 def main() -> None:
-    """Start the processes, press, print, stop."""
-    parser = argparse.ArgumentParser(description='Presses a chain of services past capacity.')
-    parser.add_argument('--naive', action='store_true', help='nodes decide nothing')
+    """Start the processes, run the load, and print the results."""
+    parser = argparse.ArgumentParser(description='Overloads a chain of services.')
+    parser.add_argument('--naive', action='store_true', help='nodes make no decisions')
     parser.add_argument('--holds', action='store_true', help='targets hold slots while they wait')
-    parser.add_argument('--impatient', action='store_true', help='callers heed no Retry-After')
-    parser.add_argument('--flood', action='store_true', help='one node, up to 30x its target')
+    parser.add_argument('--impatient', action='store_true', help='callers ignore Retry-After')
+    parser.add_argument(
+        '--flood', action='store_true', help='one node, up to 30x the capacity of its target'
+    )
     parser.add_argument('--seed', default=7, type=int)
     args = parser.parse_args()
     scenario = FLOOD if args.flood else CHAIN
     if args.holds:
-        # A slot is then busy for the whole of the chain below it.
+        # A slot is then busy during all downstream calls too.
         scenario = scenario._replace(capacity=scenario.capacity / scenario.hops)
     with Fleet() as fleet:
         start_targets(fleet, scenario, naive=args.naive, holds_slots=args.holds)
-        print_line(f'capacity {scenario.capacity:g} whole requests a second; {vars(args)}')
+        print_line(f'capacity {scenario.capacity:g} requests per second; {vars(args)}')
         asyncio.run(run_load(fleet, scenario, seed=args.seed, impatient=args.impatient))
 
 
--- a/standins/proxy.py
+++ b/standins/proxy.py
@@ -1,4 +1,4 @@
-"""A loopback proxy that harms what goes through it: delays, resets, silence, one-way cuts."""
+"""A loopback TCP proxy that injects faults: delays, resets, and data lost in transit."""
 
 import asyncio
 import contextlib
@@ -10,17 +10,17 @@
 
 
 class ProxyFault(Enum):
-    """What happens to the bytes."""
+    """What the proxy does to the data of a connection."""
 
     NONE = 'none'
-    DELAY = 'delay'  #: each piece comes late
-    RESET = 'reset'  #: open connections are reset, new ones too
-    SILENCE = 'silence'  #: nothing passes either way, and nothing ends
-    ONE_WAY = 'one-way'  #: requests pass, answers do not
+    DELAY = 'delay'  #: each chunk is delayed
+    RESET = 'reset'  #: open and new connections are reset
+    SILENCE = 'silence'  #: data is dropped in both directions, connections stay open
+    ONE_WAY = 'one-way'  #: requests pass, responses are dropped
 
 
 class Proxy:
-    """Passes connections on to one address."""
+    """Forwards connections to one address."""
 
     def __init__(self, upstream: Address, delay: float = 0.2) -> None:
         self.upstream = upstream
@@ -30,18 +30,18 @@
         self._server: asyncio.Server
 
     async def listen(self, address: Address) -> None:
-        """Start to listen."""
+        """Start listening."""
         self._server = await asyncio.start_server(self._accept, address.host, address.port)
 
     def set_fault(self, fault: ProxyFault) -> None:
-        """Do this harm from now on."""
+        """Apply a fault from now on."""
         self.fault = fault
         if fault is ProxyFault.RESET:
             for writer in list(self._writers):
                 writer.transport.abort()
 
     def close(self) -> None:
-        """Stop, and end all connections."""
+        """Stop listening, and abort all connections."""
         self._server.close()
         for writer in list(self._writers):
             writer.transport.abort()
--- a/standins/scale.py
+++ b/standins/scale.py
@@ -1,7 +1,7 @@
-"""``make control-cost``: what membership takes at 4, 16, 64 and 128 nodes on loopback.
+"""``make control-cost``: cost of membership at 4, 16, 64 and 128 nodes on loopback.
 
-Each process runs the control parts of one node, or of several where there are more nodes than
-processes. The parent asks them what their nodes hold, and so sees when all have heard of a change.
+Each process runs the gossip agent of one node, or of several if there are more nodes than
+processes. The parent polls the member views of all nodes to see when a change has reached all.
 """
 
 import argparse
@@ -33,12 +33,12 @@
 IDLE_SECONDS = 20.0
 SPREAD_TIMEOUT_SECONDS = 30.0
 POLL_SECONDS = 0.05
-FLEET_SIZE = 960
-PACKET_HEADER_BYTES = 28  #: of IPv4 and UDP
+FLEET_SIZE = 960  #: nodes to extrapolate to
+PACKET_HEADER_BYTES = 28  #: IPv4 and UDP headers
 
 
 class ProcessReport(NamedTuple):
-    """What one process has used since its start, and what its nodes hold."""
+    """Resources that a process has used since its start, and the member views of its nodes."""
 
     agents: int
     seconds: float
@@ -52,7 +52,7 @@
 
 
 class NodeCost(NamedTuple):
-    """The cost of one node at rest, and the time a change takes to reach all, in seconds."""
+    """Cost per second of an idle node, and seconds until each kind of change reaches all nodes."""
 
     nodes: int
     sent: float
@@ -66,7 +66,7 @@
 
 
 class NodeGroup:
-    """The control parts of some nodes in one process."""
+    """The gossip agents of some nodes, in one process."""
 
     def __init__(self, names: list[str], seeds: list[Address]) -> None:
         self.names = names
@@ -74,26 +74,26 @@
         self.agents: dict[str, GossipAgent] = {}
 
     async def start(self) -> list[Address]:
-        """Start all; gives the addresses of their gossip faces."""
+        """Start all agents; return the addresses of their gossip listeners."""
         addresses = []
         for name in self.names:
             agent = GossipAgent(MemberView(), PEER_KEY, Random(name), self.seeds)
             address = await agent.listen(open_udp, Address('127.0.0.1', 0))
             domain = f'domain-{int(name[1:]) % DOMAIN_COUNT}'
-            number = int(time.time() * 1000)
-            agent.start(Member(name, number, State.ALIVE, domain, 'stock', address, address))
+            incarnation = int(time.time() * 1000)
+            agent.start(Member(name, incarnation, State.ALIVE, domain, 'stock', address, address))
             self.agents[name] = agent
             addresses.append(address)
         return addresses
 
     def report(self) -> ProcessReport:
-        """Give what this process has used."""
-        used = resource.getrusage(resource.RUSAGE_SELF)
+        """Return the resources used by this process and the views of its nodes."""
+        usage = resource.getrusage(resource.RUSAGE_SELF)
         counts = [agent.counters for agent in self.agents.values()]
         return ProcessReport(
             len(self.agents),
             time.monotonic(),
-            used.ru_utime + used.ru_stime,
+            usage.ru_utime + usage.ru_stime,
             sum(c.sent for c in counts),
             sum(c.sent_bytes for c in counts),
             sum(c.received for c in counts),
@@ -103,7 +103,7 @@
         )
 
     def apply_command(self, command: str, name: str) -> None:
-        """Change what one node says of itself."""
+        """Change the member entry that a node announces for itself."""
         agent = self.agents[name]
         me = agent.gossip.me
         match command:
@@ -124,7 +124,7 @@
 
 
 async def serve(names: list[str], seeds: list[Address]) -> None:
-    """Run some nodes, and answer the parent's lines until there are no more."""
+    """Run some nodes, and handle the parent's commands until standard input ends."""
     group = NodeGroup(names, seeds)
     addresses = await group.start()
     tasks = [asyncio.create_task(agent.run()) for agent in group.agents.values()]
@@ -147,7 +147,7 @@
 
 
 class Worker:
-    """One process of nodes, as its parent sees it."""
+    """A child process that runs some nodes."""
 
     def __init__(self, names: list[str], seeds: list[str]) -> None:
         self.names = names
@@ -160,23 +160,23 @@
         self.addresses: list[str] = []
 
     def read(self) -> str:
-        """Read one line."""
+        """Read a line from the process."""
         assert self.popen.stdout is not None
         return self.popen.stdout.readline()
 
     def write(self, line: str) -> None:
-        """Write one line."""
+        """Write a line to the process."""
         assert self.popen.stdin is not None
         self.popen.stdin.write(f'{line}\n')
         self.popen.stdin.flush()
 
     def report(self) -> ProcessReport:
-        """Ask what the process has used."""
+        """Request a report from the process."""
         self.write('report')
         return msgspec.json.decode(self.read(), type=ProcessReport)
 
     def stop(self) -> None:
-        """End the process."""
+        """Kill the process."""
         with contextlib.suppress(OSError):
             self.popen.send_signal(signal.SIGCONT)
         self.popen.kill()
@@ -184,16 +184,17 @@
 
 
 class Trial:
-    """One size of fleet."""
+    """Measures a fleet of one size."""
 
     def __init__(self, nodes: int) -> None:
         self.nodes = nodes
         self.workers: list[Worker] = []
 
     def start(self) -> None:
-        """Start all processes; the first node is everyone's seed."""
+        """Start all processes; the first node is the seed of all others."""
         names = [f'n{i}' for i in range(self.nodes)]
-        # The first four stay alone: one is announced anew, one drained, one killed, one frozen.
+        # The first four have their own processes: one changes its entry, one drains, one is killed,
+        # and one is frozen.
         single, shared = names[:4], names[4:]
         groups = [[name] for name in single]
         groups += [
@@ -207,28 +208,28 @@
             seeds = seeds or worker.addresses[:1]
 
     def stop(self) -> None:
-        """End all."""
+        """Stop all processes."""
         for worker in self.workers:
             worker.stop()
 
     def reports(self, excluded: int = -1) -> list[ProcessReport]:
-        """Ask all, or all but one."""
+        """Request reports from all processes, or from all but one."""
         return [w.report() for i, w in enumerate(self.workers) if i != excluded]
 
     def measure_spread(
         self, name: str, matches: Callable[[list[Any]], bool], excluded: int = -1
     ) -> float:
-        """Give the time until all nodes hold of one what is looked for."""
-        began = time.monotonic()
-        while time.monotonic() - began < SPREAD_TIMEOUT_SECONDS:
+        """Return the seconds until the entry of a node matches in the views of all others."""
+        started_at = time.monotonic()
+        while time.monotonic() - started_at < SPREAD_TIMEOUT_SECONDS:
             views = [v for r in self.reports(excluded) for n, v in r.views.items() if n != name]
             if all(name in view and matches(view[name]) for view in views):
-                return time.monotonic() - began
+                return time.monotonic() - started_at
             time.sleep(POLL_SECONDS)
-        raise SystemExit(f'{name}: not heard by all within {SPREAD_TIMEOUT_SECONDS} s')
+        raise SystemExit(f'{name}: change not known to all nodes within {SPREAD_TIMEOUT_SECONDS} s')
 
     def measure_idle(self) -> tuple[float, float, float, float]:
-        """Give bytes sent and received a second, processor share and memory of one node."""
+        """Return bytes sent and received per second, CPU share and memory of an idle node."""
         before = self.reports()
         time.sleep(IDLE_SECONDS)
         after = self.reports()
@@ -246,7 +247,7 @@
         return sent / seconds, received / seconds, cpu / seconds, sum(single) / len(single)
 
     def measure(self) -> NodeCost:
-        """Measure the fleet at rest, then each kind of change."""
+        """Measure the idle fleet, then each kind of change."""
         for name in (f'n{i}' for i in range(self.nodes)):
             self.measure_spread(name, lambda entry: entry[1] == State.ALIVE)
         time.sleep(SETTLE_SECONDS)
@@ -264,7 +265,7 @@
         return NodeCost(self.nodes, *idle, announced, drained, died, refuted)
 
     def _freeze(self) -> float:
-        """Freeze a node until all suspect it; gives the time until none does any more."""
+        """Freeze a node until all suspect it; return the seconds until all see it alive again."""
         proc = self.workers[3].popen
         proc.send_signal(signal.SIGSTOP)
         self.measure_spread('n3', lambda entry: entry[1] != State.ALIVE, excluded=3)
@@ -273,18 +274,18 @@
 
 
 class LinearFit(NamedTuple):
-    """A straight line through measured points, by least squares."""
+    """A straight line fitted by least squares."""
 
     start: float
     slope: float
 
     def value_at(self, x: float) -> float:
-        """Give the line's value."""
+        """Return the value of the line at ``x``."""
         return self.start + self.slope * x
 
 
 def fit(points: list[tuple[float, float]]) -> LinearFit:
-    """Fit a line.
+    """Fit a line to points.
 
     >>> fit([(0, 1), (1, 3), (2, 5)])
     LinearFit(start=1.0, slope=2.0)
@@ -297,7 +298,7 @@
 
 
 def print_costs(costs: list[NodeCost]) -> None:
-    """Print the table and the lines for the target's size."""
+    """Print the measurements, and extrapolate them to ``FLEET_SIZE`` nodes."""
     _print_line('nodes  sent B/s  recv B/s  cpu %  MB     announced  drained  killed  refuted')
     for c in costs:
         figures = f'{c.nodes:>5}{c.sent:>10.0f}{c.received:>10.0f}{100 * c.cpu:>7.3f}'
@@ -314,10 +315,10 @@
 
 
 def main() -> None:
-    """Measure all sizes, or serve some nodes as a child."""
+    """Measure all fleet sizes, or run some nodes as a child process."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument('--sizes', default=','.join(map(str, NODE_COUNTS)))
-    parser.add_argument('--nodes', help='serve these nodes')
+    parser.add_argument('--nodes', help='run these nodes')
     parser.add_argument('--seeds', default='')
     args = parser.parse_args()
     if args.nodes:
--- a/standins/soak.py
+++ b/standins/soak.py
@@ -1,10 +1,10 @@
-"""A randomized soak of the platform's nodes: real processes, harmed from outside.
+"""Randomized soak test of the platform's nodes: real processes, with faults injected from outside.
 
     python -m standins.soak --seeds 1-50 --seconds 8
 
-Each run draws its faults from its seed: signals to nodes and targets, harmed connections to
-targets and to the store, faults of the store, changes of the configuration; in series and
-overlapping. Callers keep their connections. What is checked stands in ``find_violations``.
+Each run draws its faults from its seed: signals to nodes and targets, faults on the connections
+to targets and to the store, faults of the store, and changes of the configuration. Faults may
+overlap. Callers keep their connections open. ``find_violations`` and ``soak_says`` hold the checks.
 """
 
 import argparse
@@ -41,21 +41,21 @@
 )
 
 SERVICE_SPECS = [
-    ServiceSpec('views', called_paths=('/deep/x',)),
-    ServiceSpec('orders', called_paths=('/deep/x',), kind='unsafe'),
+    ServiceSpec('views', downstream_paths=('/deep/x',)),
+    ServiceSpec('orders', downstream_paths=('/deep/x',), kind='unsafe'),
     ServiceSpec('deep', slots=40, service_seconds=0.01),
 ]
-SERVICES = ('views', 'orders')  #: that callers ask for
-MACHINES_PER_SERVICE = 2  #: machines of each kind, unless a run names another number
-#: Seconds for each machine beside the first few, within which all have started: processes start one
-#: after the other, and each takes most of a second of a core.
+SERVICES = ('views', 'orders')  #: services that callers send requests to
+MACHINES_PER_SERVICE = 2  #: default
+#: Start time allowed per machine beyond the default number: processes start one after the other,
+#: and each takes most of a second of a core.
 START_SECONDS_PER_MACHINE = 1.0
-MAX_DOMAINS = 3  #: failure domains, at most
+MAX_DOMAINS = 3  #: failure domains
 WORKER_COUNT = 10
 CALL_TIMEOUT_SECONDS = 3.0
 PAUSE_SECONDS = 0.03  #: between two requests of a worker
-#: Seconds after the last fault within which every service answers at every machine again: a
-#: member wrongly held for dead is asked each second, and a node wants one heartbeat.
+#: Time after the last fault within which every service must be reachable through every machine
+#: again. A member wrongly considered dead is probed each second, and a node needs one heartbeat.
 RECOVERY_SECONDS = 10.0
 STORE_FAULTS: list[dict[str, Any]] = [
     {'down': True},
@@ -63,24 +63,25 @@
     {'delay': 0.3},
     {'lose_answers': 3},
 ]
+#: Statuses that promise that the request was not run.
 NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
 
 
 class SentRequest(NamedTuple):
-    """One request of a caller and what came back: status 0 for no whole answer."""
+    """A request of a caller and its result; status 0 if there is no complete response."""
 
     request_id: str
     service: str
     ingress: str
     status: int
-    is_valid: bool  #: the answer is the one to this request, and signed
+    is_valid: bool  #: the response is signed and belongs to this request
     response_seconds: float
-    sent_at: float = 0.0  #: of the host's steady clock
+    sent_at: float = 0.0  #: from the host's monotonic clock
 
 
 @dataclass
 class RunRecord:
-    """What a run has seen."""
+    """Requests, injected faults and findings of a run."""
 
     requests: list[SentRequest] = field(default_factory=list)
     faults: list[str] = field(default_factory=list)
@@ -91,15 +92,15 @@
 
 
 class Variant(NamedTuple):
-    """What a run has beside the faults that its seed draws; these stay as they are."""
+    """Options of a run; they do not change which other faults the seed draws."""
 
-    restores_store: bool = False  #: the store returns from copies meanwhile
-    announces_state: bool = False  #: targets say something of themselves with their answers
-    machines_per_service: int = MACHINES_PER_SERVICE  #: machines of each kind
+    restores_store: bool = False  #: the store is restored from copies during the run
+    announces_state: bool = False  #: targets advertise rates and that they are leaving
+    machines_per_service: int = MACHINES_PER_SERVICE
 
 
 class Soak:
-    """One run."""
+    """Runs callers and injects faults, for one seed."""
 
     def __init__(self, fleet: MeshFleet, seed: int, variant: Variant) -> None:
         self.fleet = fleet
@@ -109,19 +110,21 @@
         self.announcement_rng = Random(f'says {seed}')
         self.record = RunRecord()
         self.is_calling = True
-        self.services = list(SERVICES)  #: and later the newest configuration's own route
+        self.services = list(SERVICES)  #: later also the newest configuration's route
 
     async def run(self, seconds: float) -> RunRecord:
-        """Start all, harm it for a while, heal it, and judge."""
+        """Start the processes, inject faults for ``seconds``, clear them, and check the results."""
         await self.fleet.configure(SERVICE_SPECS)
         for number in range(self.variant.machines_per_service):
             for spec in SERVICE_SPECS:
                 await self.fleet.start_machine(
                     f'{spec.service}-{number}', f'd{number % MAX_DOMAINS}', spec
                 )
-        more = max(len(self.fleet.machines) - MACHINES_PER_SERVICE * len(SERVICE_SPECS), 0)
+        extra_machines = max(
+            len(self.fleet.machines) - MACHINES_PER_SERVICE * len(SERVICE_SPECS), 0
+        )
         await self._wait_until_served(
-            'at the start', 3 * RECOVERY_SECONDS + more * START_SECONDS_PER_MACHINE
+            'at the start', 3 * RECOVERY_SECONDS + extra_machines * START_SECONDS_PER_MACHINE
         )
         workers = [
             asyncio.create_task(self._send_requests(number)) for number in range(WORKER_COUNT)
@@ -180,8 +183,8 @@
             request_id, service, ingress, response.status, is_valid, response_seconds, sent_at
         )
 
-    async def _wait_until_served(self, when: str, seconds: float) -> None:
-        """Wait until every machine serves every service; one that does not is a finding."""
+    async def _wait_until_served(self, occasion: str, seconds: float) -> None:
+        """Wait until every machine serves every service; if one does not, record a finding."""
         loop = asyncio.get_running_loop()
         until = loop.time() + seconds
         client = HttpClient()
@@ -195,13 +198,15 @@
             await asyncio.sleep(0.1)
         client.close()
         for ingress, service in sorted(unserved):
-            self.record.findings.append(f'{service} by {ingress} not served {seconds} s {when}')
+            self.record.findings.append(
+                f'{service} not served by {ingress} within {seconds} s {occasion}'
+            )
 
     async def _inject_faults_for(self, seconds: float) -> None:
         loop = asyncio.get_running_loop()
         until = loop.time() + seconds
-        # A harm that fails ends the others: one that starts a process after the fleet was ended
-        # would leave it running, and the run would wait for its end.
+        # The task group cancels all faults if one fails. Otherwise a fault could start a process
+        # after the fleet was stopped, and the run would wait forever for that process to exit.
         async with asyncio.TaskGroup() as group:
             if self.variant.restores_store:
                 group.create_task(self._return_store(until))
@@ -228,6 +233,7 @@
             self._harm_store,
             self._reconfigure,
         )
+        # The names of the methods are printed as names of faults.
         inject = self.rng.choice(methods)
         self.record.faults.append(f'{inject.__name__[1:]} {name} {fault_seconds:.1f}')
         await inject(name, fault_seconds)
@@ -273,14 +279,14 @@
         await self.fleet.set_store_faults()
 
     async def _reconfigure(self, name: str, fault_seconds: float) -> None:
-        # Past the proxies, as the operator writes; while the store is down nobody can.
+        # Bypasses the proxies, as an operator's write would. It fails while the store is down.
         try:
             await self.fleet.configure(SERVICE_SPECS)
         except UnconfirmedWriteError as exc:
-            self.record.faults.append(f'the configuration was not written: {exc}')
+            self.record.faults.append(f'configuration write not confirmed: {exc}')
 
     async def _return_store(self, until: float) -> None:
-        """Let the store return from a copy some seconds old, again and again."""
+        """Repeatedly restore the store from a copy that is up to a few seconds old."""
         loop, rng = asyncio.get_running_loop(), self.restore_rng
         while loop.time() < until:
             await self.fleet.save_copy()
@@ -295,7 +301,7 @@
             await self._reconfigure('', 0.0)
 
     async def _announce_states(self, until: float) -> None:
-        """Let targets in turn name a rate for a while, or say that they leave, and then leave."""
+        """Repeatedly let a target announce a rate for a while, or announce that it leaves."""
         loop, rng = asyncio.get_running_loop(), self.announcement_rng
         while loop.time() < until:
             name = rng.choice(list(self.fleet.machines))
@@ -327,13 +333,13 @@
         await _end(node.popen, signum)
 
     def _restart_ended(self, name: str) -> None:
-        """Start whatever of a machine has ended; several faults may have met there."""
+        """Restart all exited processes of a machine; overlapping faults may have stopped both."""
         machine = self.fleet.machines[name]
         node, target = machine.node.popen.poll(), machine.target.popen.poll()
         self.fleet.restart_processes(name, node=node is not None, target=target is not None)
 
     def _read_target_output(self) -> tuple[Counter[str], list[Arrival]]:
-        """Return the number of runs of each request, and all arrivals at targets."""
+        """Return how often each request ran, and all arrivals, also those at stopped targets."""
         run_counts: Counter[str] = Counter()
         arrivals = []
         for proc in self.fleet.processes:
@@ -371,44 +377,46 @@
 
 
 def find_violations(requests: list[SentRequest], run_counts: Counter[str]) -> list[str]:
-    """Check the promises of the pages against what callers and targets saw."""
+    """Check the documented guarantees against the results of callers and the runs at targets."""
     findings = []
     for request in requests:
         run_count = run_counts[request.request_id]
         if not request.is_valid:
-            findings.append(f'{request}: the answer is not that of its own request')
+            findings.append(f'{request}: the response belongs to another request')
         if request.service == 'orders' and run_count > 1:
             findings.append(f'{request}: ran {run_count} times')
         if request.service == 'orders' and request.status in NOT_RUN_STATUSES and run_count:
-            findings.append(f'{request}: said not to have run, and ran')
-        # A new route may be unknown at a node for a while; ``_wait_until_served`` bounds it.
+            findings.append(f'{request}: ran although the status promises that it did not')
+        # A node may not know a new route yet; ``_wait_until_served`` limits for how long.
         is_new = request.service not in SERVICES and request.status == 404
         if 400 <= request.status < 500 and request.status not in NOT_RUN_STATUSES and not is_new:
-            findings.append(f'{request}: refused though it is proper')
+            findings.append(f'{request}: refused although it is valid')
     if not any(request.status == 200 for request in requests):
-        findings.append('nothing was served')
+        findings.append('no request was served')
     return findings
 
 
 async def run_seed(seed: int, seconds: float, variant: Variant = Variant()) -> RunRecord:  # noqa: B008
-    """Play one seed."""
+    """Run one seed."""
     async with MeshFleet(seed % 240 + 1) as fleet:
         return await Soak(fleet, seed, variant).run(seconds)
 
 
 def main() -> int:
-    """Play seeds one after another; gives 1 if any of them found something."""
-    parser = argparse.ArgumentParser(description='Randomized soak of nodes as processes.')
+    """Run the seeds one after another; return 1 if any run has findings."""
+    parser = argparse.ArgumentParser(description='Randomized soak test of node processes.')
     parser.add_argument('--seeds', default='1-5', help='FIRST-LAST')
-    parser.add_argument('--seconds', type=float, default=8.0, help='Of faults in each run.')
     parser.add_argument(
-        '--returns', action='store_true', help='Let the store return from older copies meanwhile.'
+        '--seconds', type=float, default=8.0, help='Duration of faults in each run.'
+    )
+    parser.add_argument(
+        '--returns', action='store_true', help='Restore the store from older copies meanwhile.'
     )
     parser.add_argument(
-        '--says', action='store_true', help='Let targets name rates and leave by their answers.'
+        '--says', action='store_true', help='Let targets advertise rates and that they are leaving.'
     )
     parser.add_argument(
-        '--copies', type=int, default=MACHINES_PER_SERVICE, help='Machines of each kind.'
+        '--copies', type=int, default=MACHINES_PER_SERVICE, help='Machines per service.'
     )
     args = parser.parse_args()
     variant = Variant(args.returns, args.says, args.copies)
--- a/standins/soak_says.py
+++ b/standins/soak_says.py
@@ -1,23 +1,24 @@
-"""What targets of a soak say of themselves in their answers, and whether nodes keep to it.
+"""Checks of a soak run: whether nodes respect what targets advertise in their responses.
 
-A target names a rate or says that it leaves while its heartbeats go on as before. All that a
-target gets passes the node beside it, so the rate is binding against all of its arrivals, whoever
-was told of it.
+A target announces a rate, or that it is leaving, in its responses alone; its heartbeats do not
+change. All requests to a target pass its own node, so the rate is compared with all arrivals at
+the target, including those from ingress nodes that have not yet seen the announcement.
 """
 
 from bisect import bisect_left, bisect_right
 from collections import defaultdict
 from typing import NamedTuple
 
-WINDOW_SECONDS = 4.0  #: seconds over which arrivals are counted
-RATE_NOTICE_SECONDS = 3.0  #: seconds after a target began to name a rate
-EXTRA_ARRIVALS = 5  #: arrivals in a window that are allowed beyond
-RATE_TOLERANCE = 1.5  #: times the rate that a window may have
-LEAVING_NOTICE_SECONDS = 2.0  #: seconds after an entry passed on an answer of a target that leaves
+WINDOW_SECONDS = 4.0  #: sliding window in which arrivals are counted
+RATE_NOTICE_SECONDS = 3.0  #: after this time the announced rate must be respected
+EXTRA_ARRIVALS = 5  #: allowed per window in addition to those at the rate
+RATE_TOLERANCE = 1.5  #: factor by which arrivals in a window may exceed the rate
+#: Time after an ingress relayed a response of a leaving target until it must not choose it again.
+LEAVING_NOTICE_SECONDS = 2.0
 
 
 class Arrival(NamedTuple):
-    """A request that reached a target. Times are of the host's steady clock."""
+    """A request that reached a target. All times are from the host's monotonic clock."""
 
     target_id: str
     arrived_at: float
@@ -25,7 +26,7 @@
 
 
 class AnnouncedRate(NamedTuple):
-    """A target named a rate from one moment to another."""
+    """A rate that a target announced from ``since`` to ``until``."""
 
     target_id: str
     rate: float
@@ -34,7 +35,7 @@
 
 
 class RelayedLeaving(NamedTuple):
-    """An entry passed on an answer whose target said that it leaves."""
+    """An ingress relayed a response in which a target announced that it is leaving."""
 
     ingress: str
     target_id: str
@@ -42,7 +43,7 @@
 
 
 class CallerRequest(NamedTuple):
-    """A request of a caller."""
+    """A request of a caller, and the node that received it."""
 
     request_id: str
     ingress: str
@@ -50,14 +51,14 @@
 
 
 class NodeDisruption(NamedTuple):
-    """A node was ended or frozen, so that it may have forgotten what it passed on."""
+    """A node was stopped or frozen, so it may have lost the state of targets."""
 
     node: str
     at: float
 
 
 def parse_arrival(line: str) -> Arrival | None:
-    """Read one line of a target's output; None for any other line."""
+    """Parse a line of a target's output; return None if it reports no arrival."""
     event, _, rest = line.partition(' ')
     if event != 'got':
         return None
@@ -66,14 +67,14 @@
 
 
 def allowed_arrivals(rate: float) -> float:
-    """Give how many requests a target that names a rate may get in a window."""
+    """Return how many requests a target with an announced rate may get in a window."""
     return RATE_TOLERANCE * rate * WINDOW_SECONDS + EXTRA_ARRIVALS
 
 
 def max_arrivals_in_window(times: list[float], since: float) -> int:
-    """Give the most of these times in a window that ends when a rate named at ``since`` binds.
+    """Return the most arrivals in any window that ends while the rate must be respected.
 
-    ``times`` are in order.
+    ``times`` are the arrivals in order, and ``since`` is when the rate was first announced.
     """
     first = bisect_left(times, since + RATE_NOTICE_SECONDS)
     return max(
@@ -86,17 +87,21 @@
 
 
 def find_rate_violations(announced: list[AnnouncedRate], arrivals: list[Arrival]) -> list[str]:
-    """Give a finding for each rate that a window has too many arrivals for."""
-    times: dict[str, list[float]] = defaultdict(list)
+    """Return a finding for each announced rate that the arrivals in some window exceed."""
+    arrivals_by_target: dict[str, list[float]] = defaultdict(list)
     for arrival in sorted(arrivals, key=lambda a: a.arrived_at):
-        times[arrival.target_id].append(arrival.arrived_at)
+        arrivals_by_target[arrival.target_id].append(arrival.arrived_at)
     findings = []
-    for one in announced:
-        binding = times[one.target_id]
-        binding = binding[bisect_left(binding, one.since) : bisect_right(binding, one.until)]
-        most = max_arrivals_in_window(binding, one.since)
-        if most > allowed_arrivals(one.rate):
-            findings.append(f'{one}: {most} requests in {WINDOW_SECONDS} s')
+    for announcement in announced:
+        times_in_force = arrivals_by_target[announcement.target_id]
+        times_in_force = times_in_force[
+            bisect_left(times_in_force, announcement.since) : bisect_right(
+                times_in_force, announcement.until
+            )
+        ]
+        arrival_count = max_arrivals_in_window(times_in_force, announcement.since)
+        if arrival_count > allowed_arrivals(announcement.rate):
+            findings.append(f'{announcement}: {arrival_count} requests in {WINDOW_SECONDS} s')
     return findings
 
 
@@ -106,20 +111,20 @@
     arrivals: list[Arrival],
     disruptions: list[NodeDisruption],
 ) -> list[str]:
-    """Give a finding for each request that reached a target which its entry knew to leave."""
+    """Return a finding for each request sent to a target that its ingress knew to be leaving."""
     relayed_since: dict[tuple[str, str], float] = {}
-    for one in sorted(relayed, key=lambda p: p.relayed_at):
-        relayed_since.setdefault((one.ingress, one.target_id), one.relayed_at)
-    by_id = {one.request_id: one for one in requests}
+    for response in sorted(relayed, key=lambda r: r.relayed_at):
+        relayed_since.setdefault((response.ingress, response.target_id), response.relayed_at)
+    by_id = {request.request_id: request for request in requests}
     findings = []
     for arrival in arrivals:
-        request = by_id.get(arrival.request_id)
-        since = relayed_since.get((request.ingress, arrival.target_id)) if request else None
-        if request is None or since is None or request.sent_at <= since + LEAVING_NOTICE_SECONDS:
+        sent = by_id.get(arrival.request_id)
+        since = relayed_since.get((sent.ingress, arrival.target_id)) if sent else None
+        if sent is None or since is None or sent.sent_at <= since + LEAVING_NOTICE_SECONDS:
             continue
-        if any(d.node == request.ingress and since <= d.at <= request.sent_at for d in disruptions):
+        if any(d.node == sent.ingress and since <= d.at <= sent.sent_at for d in disruptions):
             continue
         findings.append(
-            f'{arrival}: sent {request.sent_at - since:.2f} s after {request.ingress} was told'
+            f'{arrival}: sent {sent.sent_at - since:.2f} s after {sent.ingress} was notified'
         )
     return findings
--- a/standins/stages.py
+++ b/standins/stages.py
@@ -1,8 +1,8 @@
-"""What the stages of a call cost in processor time: ``python -m standins.stages``.
+"""Measures the CPU time of the stages of a call: ``python -m standins.stages``.
 
-Everything runs in one process, and the least of several turns counts: others on the machine
-only ever add to a turn. The caches are warm here, as they are not in a node that waits
-between its calls, so the figures serve to compare two versions of the code.
+Everything runs in one process. The minimum of several rounds is reported, as other load on the
+machine can only make a round slower. The caches are warm, unlike in a node that waits between
+calls, so the results are only suitable for comparing two versions of the code.
 """
 
 import argparse
@@ -46,25 +46,25 @@
 
 
 def measure_stage(stage: Stage) -> float:
-    """Give the processor time of one run in microseconds, the least of all turns."""
+    """Return the CPU time of one run in microseconds, the minimum of all rounds."""
     best = float('inf')
     for _ in range(ROUNDS):
-        began = time.process_time()
+        started_at = time.process_time()
         for _ in range(RUNS_PER_ROUND):
             stage()
-        best = min(best, time.process_time() - began)
+        best = min(best, time.process_time() - started_at)
     return best / RUNS_PER_ROUND * 1e6
 
 
 def message_events(head: h11.Request | h11.Response, body: bytes) -> list[h11.Event]:
-    """Give the events of one whole message; an empty body costs no event."""
+    """Return the events of a complete message; an empty body has no event."""
     if not body:
         return [head, h11.EndOfMessage()]
     return [head, h11.Data(data=body), h11.EndOfMessage()]
 
 
 def h11_stages() -> dict[str, Stage]:
-    """Parse and write one small message as server and as client, on kept connections."""
+    """Parse and write a small message as server and as client, on persistent connections."""
     server, client = h11.Connection(h11.SERVER), h11.Connection(h11.CLIENT)
 
     def serve() -> None:
@@ -88,7 +88,7 @@
 
 
 def link_stages() -> dict[str, Stage]:
-    """Write and read one frame."""
+    """Encode and decode a frame."""
     call = Call(
         1, 'templates', 'GET', '/oak/1', HEADERS, b'', 'id', '::1', 'r', 2, 5, 1.0, 1, 0, True
     )
@@ -100,7 +100,7 @@
 
 
 def policy_stages() -> dict[str, Stage]:
-    """Decide on one call, and once a tick."""
+    """Make the decisions on a call, and those of a periodic update."""
     admission, level, router = Admission(), AdmittedLevel(), Router('bangor-hall', Random(1))
     candidates = [Candidate(f'bangor-{n}', 'bangor-hall') for n in range(3)]
     now = 0.0
@@ -116,7 +116,7 @@
         admission.dequeue(now)
         admission.load(now)
 
-    def tick() -> None:
+    def update_level() -> None:
         nonlocal now
         now += 0.11
         for slot in range(25):
@@ -131,13 +131,13 @@
 
     return {
         'decide: admit, finish, load': admit,
-        'decide: one tick of the level (10 a second)': tick,
+        'decide: one update of the level (10 per second)': update_level,
         'decide: route among three': route,
     }
 
 
 def loop_stages(loop: asyncio.AbstractEventLoop) -> dict[str, Stage]:
-    """Call the system and the loop as each message does."""
+    """Make the system calls and the event loop calls of a message."""
     listener = socket.create_server(('127.0.0.1', 0))
     client_socket = socket.create_connection(listener.getsockname())
     server_socket, _ = listener.accept()
@@ -149,12 +149,12 @@
     return {
         'system: one send and recv over TCP': exchange,
         'loop: a timer set and cancelled': lambda: loop.call_later(10.0, print).cancel(),
-        'loop: one task, two turns': lambda: loop.run_until_complete(asyncio.sleep(0)),
+        'loop: one task, two iterations': lambda: loop.run_until_complete(asyncio.sleep(0)),
     }
 
 
 def build_node(name: str) -> Node:
-    """Build a node without a platform."""
+    """Build a node that has no platform."""
     faces = dict.fromkeys(('callers', 'local', 'peers', 'operators', 'gossip'), str(LOOPBACK))
     flags = {
         'instance': name,
@@ -173,16 +173,16 @@
 
 
 async def measure_calls(caller: Caller, address: Address, path: str) -> float:
-    """Give the processor time of one call in microseconds, in one turn."""
-    began = time.process_time()
+    """Return the mean CPU time of a call in one round, in microseconds."""
+    started_at = time.process_time()
     for _ in range(CALLS_PER_ROUND):
         response = await caller.call(address, 'GET', path)
         assert response is not None and response.status == 200, response
-    return (time.process_time() - began) / CALLS_PER_ROUND * 1e6
+    return (time.process_time() - started_at) / CALLS_PER_ROUND * 1e6
 
 
 async def measure_whole_calls(profiler: cProfile.Profile | None) -> dict[str, float]:
-    """Send calls one after another straight to a target, through one node, through two."""
+    """Send calls directly to a target, through one node and through two; return the added time."""
     target_node, ingress_node = build_node('bangor-1'), build_node('menai-1')
     await target_node.start()
     await ingress_node.start()
@@ -215,24 +215,26 @@
 
 
 def main() -> None:
-    """Run all stages, then whole calls."""
+    """Measure all stages, then whole calls."""
     parser = argparse.ArgumentParser(description='Measures the stages of a call.')
-    parser.add_argument('--profile', default='', help='file for a cProfile of the whole calls')
+    parser.add_argument(
+        '--profile', default='', help='file for the cProfile output of the whole calls'
+    )
     args = parser.parse_args()
     with asyncio.Runner() as runner:
         loop = runner.get_loop()
         stages = {**h11_stages(), **link_stages(), **policy_stages(), **loop_stages(loop)}
         for name, stage in stages.items():
             print_line(f'{name:<46}{measure_stage(stage):>8.1f} us')
-        for name, micros in runner.run(measure_whole_calls(None)).items():
-            print_line(f'{name:<46}{micros:>8.1f} us')
+        for name, microseconds in runner.run(measure_whole_calls(None)).items():
+            print_line(f'{name:<46}{microseconds:>8.1f} us')
         profiler = cProfile.Profile()
         runner.run(measure_whole_calls(profiler))
-        # Unlike any time, the same on a busy machine.
+        # Unlike times, the number of function calls does not depend on the load of the machine.
         function_calls = sum(entry.callcount for entry in profiler.getstats()) / (
             CALL_ROUNDS * CALLS_PER_ROUND
         )
-        print_line(f'{"function calls, a call each of the three ways":<46}{function_calls:>8.1f}')
+        print_line(f'{"function calls, one call on each of three paths":<46}{function_calls:>8.1f}')
         if args.profile:
             profiler.dump_stats(args.profile)
 
--- a/standins/stories.py
+++ b/standins/stories.py
@@ -1,9 +1,9 @@
-"""Brings about three kinds of failed request on the stand-ins, and keeps the nodes' logs.
+"""Causes three kinds of failed requests on the stand-ins, and saves the nodes' logs.
 
     python -m standins.stories --out DIR
 
-Prints a line for each: what it is, and the request's id. docs/OPERATIONS.md goes from these ids
-to their causes.
+Prints the kind and the id of each failed request. docs/OPERATIONS.md shows how to find the causes
+from these ids.
 """
 
 import argparse
@@ -19,29 +19,29 @@
 from dunlinsaddle.settings import Address
 from standins.mesh import MeshFleet, ServiceSpec, build_call_headers
 
-SUBNET = 245  #: of the addresses that MeshFleet uses, apart from those of the soak's seeds
+SUBNET = 245  #: of the MeshFleet addresses; the soak uses 1 to 240
 SERVICE_SPECS = [
-    ServiceSpec('views', called_paths=('/deep/x',)),
+    ServiceSpec('views', downstream_paths=('/deep/x',)),
     ServiceSpec('orders', service_seconds=1.0, kind='unsafe'),
     ServiceSpec('deep', slots=2, service_seconds=0.05),
     ServiceSpec('slow', slots=20, service_seconds=5.0),
-    ServiceSpec('reports', called_paths=('/slow/x',)),
+    ServiceSpec('reports', downstream_paths=('/slow/x',)),
 ]
-FLOOD_REQUESTS = 60  #: requests at once for a service that has two slots
+FLOOD_REQUESTS = 60  #: concurrent requests to a service with two slots
 CALL_TIMEOUT_SECONDS = 4.0
 SERVED_TIMEOUT_SECONDS = 20.0
-POLL_SECONDS = 0.2  #: two questions whether a service is served
+POLL_SECONDS = 0.2  #: between two checks whether a service is served
 
 
 class FailureScenarios:
-    """Plays the stories on one fleet."""
+    """Causes failed requests on one fleet."""
 
     def __init__(self, fleet: MeshFleet) -> None:
         self.fleet = fleet
         self.client = HttpClient()
 
     async def call(self, ingress: str, path: str, method: str = 'GET') -> tuple[str, int]:
-        """Send a request; gives its id and the status of the answer."""
+        """Send a request; return its id and the status of the response, 0 if there is none."""
         request_id = uuid6.uuid7().hex
         address: Address = self.fleet.machines[ingress].outbound_address
         req = HttpRequest(
@@ -59,25 +59,25 @@
                 await asyncio.sleep(POLL_SECONDS)
                 _, status = await self.call(ingress, path)
 
-    async def overload_request(self) -> str:
-        """Give a request that was refused under overload."""
+    async def overload_service(self) -> str:
+        """Overload a service; return the id of a refused request."""
         calls = [self.call('views-0', '/deep/x') for _ in range(FLOOD_REQUESTS)]
         return next(name for name, status in await asyncio.gather(*calls) if status == 503)
 
-    async def abort_unsafe_request(self) -> str:
-        """Give an order whose target was killed while it ran it."""
+    async def kill_target_during_request(self) -> str:
+        """Kill a target while it runs an unsafe request; return the id of the request."""
         call = asyncio.create_task(self.call('views-0', '/orders/17', 'POST'))
         await asyncio.sleep(0.5)
         self.fleet.machines['orders-0'].target.kill()
         return (await call)[0]
 
-    async def exceed_timeout(self) -> str:
-        """Give a request that ended at its route's timeout, for a service further down."""
+    async def exceed_route_timeout(self) -> str:
+        """Return the id of a request that timed out because of a slow downstream service."""
         return (await self.call('views-0', '/reports/1'))[0]
 
 
 async def run_scenarios(folder: Path) -> dict[str, str]:
-    """Play all stories; gives their request ids, and writes each node's log to the folder."""
+    """Cause all failures; return the request ids, and write each node's log to the folder."""
     async with MeshFleet(SUBNET) as fleet:
         await fleet.configure(SERVICE_SPECS)
         for spec in SERVICE_SPECS:
@@ -86,9 +86,9 @@
         await scenarios.wait_until_served('views-0', '/deep/x')
         await scenarios.wait_until_served('views-0', '/orders/1')
         request_ids = {
-            'refused': await scenarios.overload_request(),
-            'timeout': await scenarios.exceed_timeout(),
-            'unknown': await scenarios.abort_unsafe_request(),
+            'refused': await scenarios.overload_service(),
+            'timeout': await scenarios.exceed_route_timeout(),
+            'unknown': await scenarios.kill_target_during_request(),
         }
         await asyncio.sleep(1.5)
         scenarios.client.close()
@@ -106,13 +106,13 @@
 
 
 def main() -> None:
-    """Play the stories."""
-    parser = argparse.ArgumentParser(description='Three kinds of failed request, with logs.')
+    """Cause the failures and print the request ids."""
+    parser = argparse.ArgumentParser(description='Three kinds of failed requests, with logs.')
     parser.add_argument('--out', type=Path, required=True, help='Folder for the logs.')
     args = parser.parse_args()
     args.out.mkdir(parents=True, exist_ok=True)
-    for story, request_id in asyncio.run(run_scenarios(args.out)).items():
-        print(f'{story} {request_id}')  # noqa: T201
+    for failure, request_id in asyncio.run(run_scenarios(args.out)).items():
+        print(f'{failure} {request_id}')  # noqa: T201
 
 
 if __name__ == '__main__':
--- a/standins/target.py
+++ b/standins/target.py
@@ -1,4 +1,4 @@
-"""A target: N slots, a stated service time, and calls to the services below it."""
+"""A target with a number of slots, a fixed service time, and calls to downstream services."""
 
 import argparse
 import asyncio
@@ -19,15 +19,15 @@
 
 
 class Target:
-    """Answers calls after a service time, at most ``slots`` of them at once."""
+    """Answers calls after its service time, at most ``slots`` of them at once."""
 
     def __init__(
         self,
         name: str,
         service: str,
-        node: Address,
+        node_address: Address,
         slots: int,
-        seconds: float,
+        service_seconds: float,
         downstream_paths: list[str],
         *,
         frees_slots: bool = False,
@@ -35,12 +35,12 @@
     ) -> None:
         self.name = name
         self.service = service
-        self.node = node
+        self.node_address = node_address
         self.slots = asyncio.Semaphore(slots)
-        self.seconds = seconds
+        self.service_seconds = service_seconds
         self.downstream_paths = downstream_paths
-        self.frees_slots = frees_slots  #: a slot is held only for the target's own work
-        self.retries = retries  #: of each failed call down, as a target without nodes would do
+        self.frees_slots = frees_slots  #: frees the slot during downstream calls
+        self.retries = retries  #: of each failed downstream call, as by a target without nodes
         self.client = HttpClient()
         self.started_count = 0
         self.run_counts: dict[str, int] = {}
@@ -56,7 +56,7 @@
             self.run_counts[key] = self.run_counts.get(key, 0) + 1
         async with self.slots:
             self.started_count += 1
-            await asyncio.sleep(self.seconds)
+            await asyncio.sleep(self.service_seconds)
             statuses = [] if self.frees_slots else await self._call_all(req)
         if self.frees_slots:
             statuses = await self._call_all(req)
@@ -76,20 +76,20 @@
     async def _call_once(self, path: str, req: HttpRequest) -> int:
         headers = [(b'dunlinsaddle-call', req.header(b'dunlinsaddle-call').encode())]
         request = HttpRequest('GET', path, headers, b'', '')
-        exchange = await self.client.send(self.node, request, CALL_TIMEOUT_SECONDS)
+        exchange = await self.client.send(self.node_address, request, CALL_TIMEOUT_SECONDS)
         return exchange.response.status if isinstance(exchange, Answered) else 0
 
     async def announce(self, address: Address) -> None:
-        """Tell the node beside it where it is, again and again: the node may be replaced."""
+        """Send the target's address to its node repeatedly, as the node may be replaced."""
         body = msgspec.json.encode({'service': self.service, 'address': str(address)})
         while True:
             req = HttpRequest('POST', '/-/announce', [], body, '')
-            await self.client.send(self.node, req, CALL_TIMEOUT_SECONDS)
+            await self.client.send(self.node_address, req, CALL_TIMEOUT_SECONDS)
             await asyncio.sleep(ANNOUNCE_SECONDS)
 
 
 async def serve(target: Target, address: Address) -> None:
-    """Serve until SIGTERM; prints the address first."""
+    """Print the address, and serve until SIGTERM."""
     listener = HttpListener(target.handle, HttpLimits(max_connections=100_000))
     bound_address = await listener.listen(address)
     print(bound_address, flush=True)  # noqa: T201
@@ -104,17 +104,17 @@
 
 
 def main() -> None:
-    """Run the stand-in as a process."""
+    """Run the target as a process."""
     parser = argparse.ArgumentParser(description='Stand-in for a target.')
     parser.add_argument('--name', required=True)
     parser.add_argument('--service', required=True)
-    parser.add_argument('--node', required=True, type=parse_address, help='its local face')
+    parser.add_argument('--node', required=True, type=parse_address, help='its local listener')
     parser.add_argument('--listen', default='127.0.0.1:0', type=parse_address)
     parser.add_argument('--slots', default=10, type=int)
     parser.add_argument('--seconds', default=0.01, type=float)
-    parser.add_argument('--call', action='append', default=[], help='/service/path called down')
-    parser.add_argument('--frees-slots', action='store_true', help='while it waits for others')
-    parser.add_argument('--retries', default=0, type=int, help='of each failed call down')
+    parser.add_argument('--call', action='append', default=[], help='/service/path to call')
+    parser.add_argument('--frees-slots', action='store_true', help='during downstream calls')
+    parser.add_argument('--retries', default=0, type=int, help='of each failed downstream call')
     args = parser.parse_args()
     target = Target(
         args.name,
--- a/standins/ways.py
+++ b/standins/ways.py
@@ -1,6 +1,6 @@
-"""Compares ways between two nodes: a call of 400 bytes and its reply, on loopback.
+"""Compares transports between two nodes, with a call of 400 bytes and its reply on loopback.
 
-Each way has a listening process of its own; calls go out one by one at a steady rate.
+Each transport has its own server process. Calls are sent one after another, with a pause.
 """
 
 import argparse
@@ -54,7 +54,7 @@
 
 
 async def serve(transport: str) -> None:
-    """Listen until SIGTERM; prints the address first."""
+    """Print the address, and serve until SIGTERM."""
     stop = asyncio.Event()
     asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, stop.set)
     match transport:
@@ -64,14 +64,14 @@
             address = await PeerServer(PEER_KEY, _echo_call, LinkLimits()).listen(ANY_PORT)
         case _:
             address = _free_address()
-            echoing = asyncio.create_task(_echo_pynng(pynng.Rep0(listen=f'tcp://{address}')))
-            echoing.add_done_callback(lambda _: stop.set())
+            echo_task = asyncio.create_task(_echo_pynng(pynng.Rep0(listen=f'tcp://{address}')))
+            echo_task.add_done_callback(lambda _: stop.set())
     print_line(str(address))
     await stop.wait()
 
 
 def build_sender(transport: str, address: Address) -> Send:
-    """Give what sends one call and waits for its reply."""
+    """Return a function that sends a call and waits for its reply."""
     match transport:
         case 'h11':
             client = HttpClient()
@@ -92,7 +92,7 @@
 
 
 async def measure(transport: str, address: Address, count: int) -> HdrHistogram:
-    """Send calls at a steady rate, one after another."""
+    """Send calls one after another, with a pause between them; return their latencies."""
     send = build_sender(transport, address)
     histogram = HdrHistogram(1, MAX_MICROSECONDS, SIGNIFICANT_DIGITS)
     for number in range(count + WARM_UP_CALLS):
@@ -105,8 +105,8 @@
 
 
 def main() -> None:
-    """Measure every way twice in turn, or listen for one."""
-    parser = argparse.ArgumentParser(description='Compares ways between two nodes.')
+    """Measure every transport twice, or serve one of them."""
+    parser = argparse.ArgumentParser(description='Compares transports between two nodes.')
     parser.add_argument('--listen', choices=('h11', 'frames', 'pynng'))
     parser.add_argument('--count', default=1000, type=int)
     args = parser.parse_args()
@@ -119,10 +119,10 @@
         address = parse_address(proc.stdout_lines.get(timeout=START_TIMEOUT_SECONDS))
         before = process_cpu_seconds(proc.popen.pid)
         histogram = asyncio.run(measure(transport, address, args.count))
-        cpu_seconds = (process_cpu_seconds(proc.popen.pid) - before) / (args.count + WARM_UP_CALLS)
+        cpu_per_call = (process_cpu_seconds(proc.popen.pid) - before) / (args.count + WARM_UP_CALLS)
         proc.stop()
         p50, p99 = (histogram.get_value_at_percentile(q) for q in (50, 99))
-        print_line(f'{transport:<8}{p50:>8}{p99:>8}{cpu_seconds * 1e6:>14.0f}')
+        print_line(f'{transport:<8}{p50:>8}{p99:>8}{cpu_per_call * 1e6:>14.0f}')
 
 
 if __name__ == '__main__':
--- a/tests/test_stories.py
+++ b/tests/test_stories.py
@@ -9,15 +9,18 @@
 
 
 class StoriesTest(TestCase):
-    def test_the_id_of_a_failed_request_leads_to_its_cause(self):
-        # On-call has a request's id and the logs of all nodes, nothing else. The trace names
+    def test_trace_of_a_failed_request_shows_its_cause(self):
+        # An operator has only the request's id and the logs of all nodes. The trace must show
         # the instance and the decision that ended the request.
         with tempfile.TemporaryDirectory() as folder:
-            found = asyncio.run(run_scenarios(Path(folder)))
+            request_ids = asyncio.run(run_scenarios(Path(folder)))
             logs = sorted(map(str, Path(folder).glob('*.log')))
-            told = {story: run_cli('trace', name, *logs) for story, name in found.items()}
-        self.assertEqual({0}, {result.status for result in told.values()})
-        self.assertIn('kind=overloaded', told['refused'].output)
-        self.assertIn('instance":"orders-0","kind":"target-lost"', told['unknown'].output)
-        self.assertIn('kind=deadline-exceeded', told['timeout'].output)
-        self.assertIn('service=slow', told['timeout'].output)
+            traces = {
+                failure: run_cli('trace', request_id, *logs)
+                for failure, request_id in request_ids.items()
+            }
+        self.assertEqual({0}, {result.status for result in traces.values()})
+        self.assertIn('kind=overloaded', traces['refused'].output)
+        self.assertIn('instance":"orders-0","kind":"target-lost"', traces['unknown'].output)
+        self.assertIn('kind=deadline-exceeded', traces['timeout'].output)
+        self.assertIn('service=slow', traces['timeout'].output)
