--- a/standins/caller.py
+++ b/standins/caller.py
@@ -68,7 +68,7 @@
 
 def _count(counts: CallCounts, response: HttpResponse | None) -> None:
     if response is None:
-        counts.statuses['no answer'] += 1
+        counts.statuses['no response'] += 1
         return
     outcome = dict(response.headers).get(b'dunlinsaddle-outcome', b'').decode()
     counts.statuses[f'{response.status} {outcome}'] += 1
--- a/standins/mesh_target.py
+++ b/standins/mesh_target.py
@@ -45,7 +45,7 @@
         self.client = HttpClient()
 
     async def handle(self, req: HttpRequest) -> HttpResponse:
-        """Answer one request."""
+        """Handle one request."""
         if req.path == '/-/runs':
             return json_response(self.run_counts)
         if req.path == STATE_PATH:
--- a/standins/once_cost.py
+++ b/standins/once_cost.py
@@ -27,7 +27,7 @@
 def measure_decisions(texts: list[str]) -> tuple[KeyTable[Reply], float]:
     """Process each key once, from parsing to its response; return the microseconds per key."""
     table: KeyTable[Reply] = KeyTable()
-    began = time.perf_counter()
+    started_at = time.perf_counter()
     for text in texts:
         key = parse_key(text).unwrap()
         assert isinstance(key, TimestampedKey)
@@ -35,7 +35,7 @@
         if table.lookup(key.text, 7) is None:
             table.begin(key.text, key.birth, 7, NOW)
             table.complete(key.text, Reply(0, 200, [], BODY + b'.', Outcome.DONE), len(BODY))
-    return table, (time.perf_counter() - began) / len(texts) * 1e6
+    return table, (time.perf_counter() - started_at) / len(texts) * 1e6
 
 
 def measure_planning(instances: int) -> tuple[int, float]:
@@ -46,10 +46,10 @@
         context = PlanContext(Owner(name, f'{name:0>12}'), names, NOW, {})
         planned = plan_ranges('cut-orders', ranges, context)
         ranges = planned.range_map if planned else ranges
-    began = time.perf_counter()
+    started_at = time.perf_counter()
     for _ in range(100):
         plan_ranges('cut-orders', ranges, PlanContext(Owner(names[0], 'e'), names, NOW, {}))
-    elapsed = (time.perf_counter() - began) / 100 * 1e6
+    elapsed = (time.perf_counter() - started_at) / 100 * 1e6
     return len(msgspec.json.encode(encode_range_map(ranges))), elapsed
 
 
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -82,11 +82,11 @@
 
     async def handle(self, req: HttpRequest) -> HttpResponse:
         """Handle one request."""
-        response = await self._answer(req)
+        response = await self._dispatch(req)
         response.headers.append((b'store-era', str(self.epoch).encode()))
         return response
 
-    async def _answer(self, req: HttpRequest) -> HttpResponse:
+    async def _dispatch(self, req: HttpRequest) -> HttpResponse:
         if req.path == '/faults':
             self.faults = msgspec.json.decode(req.body, type=Faults)
             return json_response(self.faults)
@@ -107,10 +107,10 @@
             return json_response({'error': 'rate limit exceeded'}, 429)
         await asyncio.sleep(self.faults.get('delay', 0.0))
         if req.method in WRITE_METHODS:
-            return await self._answer_write(req)
-        return await self._answer_read(req)
+            return await self._handle_write(req)
+        return await self._handle_read(req)
 
-    async def _answer_read(self, req: HttpRequest) -> HttpResponse:
+    async def _handle_read(self, req: HttpRequest) -> HttpResponse:
         url = urlsplit(req.path)
         query = {name: values[0] for name, values in parse_qs(url.query).items()}
         self.read_count += 1
@@ -125,7 +125,7 @@
                 return json_response(stored) if stored else json_response(None, 404)
         return json_response({'error': 'no such path'}, 404)
 
-    async def _answer_write(self, req: HttpRequest) -> HttpResponse:
+    async def _handle_write(self, req: HttpRequest) -> HttpResponse:
         self.write_count += 1
         delay_seconds = self.faults.get('act_late', 0.0)
         if delay_seconds:
@@ -170,8 +170,8 @@
         return json_response({'events': events, 'atRevision': self.revision})
 
     def _has_history(self, revision: int) -> bool:
-        known = self.oldest_revision <= revision <= self.revision
-        return known and not self.faults.get('no_history')
+        has_revision = self.oldest_revision <= revision <= self.revision
+        return has_revision and not self.faults.get('no_history')
 
     def _events_since(self, kind: str, since: int) -> list[WatchEvent]:
         return [e[1] for e in self.events if e[0] == kind and _event_revision(e) > since]
--- a/standins/press.py
+++ b/standins/press.py
@@ -56,7 +56,7 @@
     """Targets and load of a test run; capacity is in requests per second through all hops."""
 
     targets: tuple[tuple[str, str], ...]  #: service and failure domain of each
-    ingress_count: int  #: the load goes to the first nodes, as many as this
+    ingress_count: int  #: number of nodes, counted from the first, that get the load
     hops: int
     capacity: float
     phases: tuple[Phase, ...]
--- a/standins/soak.py
+++ b/standins/soak.py
@@ -46,7 +46,7 @@
     ServiceSpec('deep', slots=40, service_seconds=0.01),
 ]
 SERVICES = ('views', 'orders')  #: services that callers send requests to
-MACHINES_PER_SERVICE = 2  #: default
+MACHINES_PER_SERVICE = 2  #: unless a run specifies another number
 #: Start time allowed per machine beyond the default number: processes start one after the other,
 #: and each takes most of a second of a core.
 START_SECONDS_PER_MACHINE = 1.0
@@ -233,7 +233,7 @@
             self._harm_store,
             self._reconfigure,
         )
-        # The names of the methods are printed as names of faults.
+        # The method names are printed as names of the faults.
         inject = self.rng.choice(methods)
         self.record.faults.append(f'{inject.__name__[1:]} {name} {fault_seconds:.1f}')
         await inject(name, fault_seconds)
@@ -305,21 +305,21 @@
         loop, rng = asyncio.get_running_loop(), self.announcement_rng
         while loop.time() < until:
             name = rng.choice(list(self.fleet.machines))
-            fault_seconds = rng.uniform(3.5, 6.0)
+            hold_seconds = rng.uniform(3.5, 6.0)
             if rng.random() < 0.5:
-                await self._announce_rate(name, rng.uniform(1.0, 10.0), fault_seconds)
+                await self._announce_rate(name, rng.uniform(1.0, 10.0), hold_seconds)
             else:
-                self.record.faults.append(f'leave {name} {fault_seconds:.1f}')
+                self.record.faults.append(f'leave {name} {hold_seconds:.1f}')
                 await self.fleet.set_advertised_state(name, AdvertisedState(leaving=True))
-                await asyncio.sleep(fault_seconds)
-                await self._replace_target(name, fault_seconds)
+                await asyncio.sleep(hold_seconds)
+                await self._replace_target(name, hold_seconds)
 
-    async def _announce_rate(self, name: str, rate: float, fault_seconds: float) -> None:
-        self.record.faults.append(f'name_rate {name} {rate:.1f} {fault_seconds:.1f}')
+    async def _announce_rate(self, name: str, rate: float, hold_seconds: float) -> None:
+        self.record.faults.append(f'name_rate {name} {rate:.1f} {hold_seconds:.1f}')
         loop = asyncio.get_running_loop()
         since = loop.time()
         target_id = await self.fleet.set_advertised_state(name, AdvertisedState(rate=rate))
-        await asyncio.sleep(fault_seconds)
+        await asyncio.sleep(hold_seconds)
         self.record.announced_rates.append(AnnouncedRate(target_id, rate, since, loop.time()))
         await self.fleet.set_advertised_state(name, AdvertisedState())
 
@@ -382,7 +382,7 @@
     for request in requests:
         run_count = run_counts[request.request_id]
         if not request.is_valid:
-            findings.append(f'{request}: the response belongs to another request')
+            findings.append(f'{request}: the response is unsigned or belongs to another request')
         if request.service == 'orders' and run_count > 1:
             findings.append(f'{request}: ran {run_count} times')
         if request.service == 'orders' and request.status in NOT_RUN_STATUSES and run_count:
--- a/standins/stories.py
+++ b/standins/stories.py
@@ -62,7 +62,9 @@
     async def overload_service(self) -> str:
         """Overload a service; return the id of a refused request."""
         calls = [self.call('views-0', '/deep/x') for _ in range(FLOOD_REQUESTS)]
-        return next(name for name, status in await asyncio.gather(*calls) if status == 503)
+        return next(
+            request_id for request_id, status in await asyncio.gather(*calls) if status == 503
+        )
 
     async def kill_target_during_request(self) -> str:
         """Kill a target while it runs an unsafe request; return the id of the request."""
--- a/standins/target.py
+++ b/standins/target.py
@@ -46,7 +46,7 @@
         self.run_counts: dict[str, int] = {}
 
     async def handle(self, req: HttpRequest) -> HttpResponse:
-        """Answer one call."""
+        """Handle one call."""
         if req.path == '/-/runs':
             return json_response(self.run_counts)
         if req.path == '/-/begun':
