--- a/tests/fleet_case.py
+++ b/tests/fleet_case.py
@@ -1,18 +1,21 @@
 """A test case that runs a platform, nodes and targets as processes on loopback."""
+
 import asyncio
-import msgspec
 import tempfile
 import time
 from collections.abc import Callable
+from pathlib import Path
+from typing import Any
+
+import msgspec
+from testtools import TestCase
+
 from dunlinsaddle.calls.http import HttpResponse
 from dunlinsaddle.settings import parse_address
-from pathlib import Path
 from standins.caller import Caller
 from standins.demo import run_operator_command
 from standins.fleet import Deployment, Fleet, TargetSpec
 from tests.builders import build_document
-from testtools import TestCase
-from typing import Any
 
 DOMAINS = {'bangor-1': 'bangor-hall', 'caernarfon-1': 'caernarfon-hall', 'menai-1': 'menai-hall'}
 TIMEOUT_SECONDS = 10.0
--- a/tests/test_fleet_faults.py
+++ b/tests/test_fleet_faults.py
@@ -1,15 +1,16 @@
-
 import asyncio
 import itertools
-import msgspec
 import signal
+from typing import NamedTuple
+
+import msgspec
+
 from dunlinsaddle.calls.client import HttpClient
 from dunlinsaddle.calls.connection import Answered
 from dunlinsaddle.calls.http import HttpRequest
 from dunlinsaddle.calls.messages import NotSent
 from dunlinsaddle.settings import parse_address
 from tests.fleet_case import DOMAINS, FleetCase
-from typing import NamedTuple
 
 VICTIM = 'bangor-1'
 CALLERS_PER_ENTRY = 2
--- a/tests/test_membership_processes.py
+++ b/tests/test_membership_processes.py
@@ -1,5 +1,5 @@
-
 import signal
+
 from standins.fleet import TargetSpec
 from tests.fleet_case import DOMAINS, FleetCase
 
--- a/tests/test_once_processes.py
+++ b/tests/test_once_processes.py
@@ -1,22 +1,23 @@
-
 import asyncio
-import msgspec
 import signal
 import socket
 import time
 from collections import Counter
 from collections.abc import Awaitable, Callable, Collection
+from functools import partial
+from itertools import pairwise
+from random import Random
+
+import msgspec
+from testtools.content import text_content
+
 from dunlinsaddle.calls.http import HttpResponse
 from dunlinsaddle.policy.keys import RANGE_COUNT, generate_key
 from dunlinsaddle.policy.ownership import decode_range_map
 from dunlinsaddle.settings import parse_address
-from functools import partial
-from itertools import pairwise
-from random import Random
 from standins.caller import Caller
 from standins.fleet import TargetSpec
 from tests.fleet_case import DOMAINS, FleetCase
-from testtools.content import text_content
 
 RUN_SECONDS = 0.6
 TIMEOUT_SECONDS = 15.0
--- a/tests/test_rated_load.py
+++ b/tests/test_rated_load.py
@@ -1,7 +1,9 @@
 """Load on a service some of whose targets request a rate limit."""
+
+from testtools import TestCase
+
 from standins.soak_says import allowed_arrivals, max_arrivals_in_window
 from tests.fakes.rated_load import OBJECTIVE_SECONDS, RatedLoad
-from testtools import TestCase
 
 ENTRY_COUNTS = (14, 82, 960)
 RUN_SECONDS = 30.0
--- a/tests/test_signals.py
+++ b/tests/test_signals.py
@@ -1,7 +1,7 @@
-
 import asyncio
 import signal
 import time
+
 from dunlinsaddle.exit_status import ExitStatus
 from dunlinsaddle.settings import parse_address
 from standins.caller import Caller
--- a/tests/test_whole_path.py
+++ b/tests/test_whole_path.py
@@ -1,5 +1,5 @@
-
 import msgspec
+
 from standins.fleet import TargetSpec
 from tests.fleet_case import FleetCase
 
